--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from leadford.claims import ClaimBatch, ClaimLog, SlotView
-from leadford.claims._log import ClaimSlot
 from leadford.common import rendezvous_order
-from leadford.config import (
+from leadford.pipelines.claims import ClaimBatch, ClaimLog, SlotView
+from leadford.pipelines.claims._log import ClaimSlot
+from leadford.pipelines.config import (
     ConfigTracker,
     WorkspaceConfig,
     apply_change,
@@ -24,15 +24,15 @@
     make_head,
     split,
 )
-from leadford.membership import choose_subset
-from leadford.protocol import ClassLoad, Load, Submit, TokenPart, Tokens, decode, encode
-from leadford.queues import QueuedAttempt, WorkspaceTerms, queue_policies
-from leadford.routing import (
+from leadford.pipelines.membership import choose_subset
+from leadford.pipelines.queues import QueuedAttempt, WorkspaceTerms, queue_policies
+from leadford.pipelines.routing import (
     EndpointView,
     LoadReport,
     RoutingRequest,
     routing_policies,
 )
+from leadford.protocol import ClassLoad, Load, Submit, TokenPart, Tokens, decode, encode
 
 ROUNDS = 7
 
--- a/packages/leadford-cli/src/leadford_cli/main.py
+++ b/packages/leadford-cli/src/leadford_cli/main.py
@@ -9,7 +9,7 @@
 import msgspec
 from returns.result import Failure, Result
 
-from leadford.config import FleetConfig, config_from_document
+from leadford.pipelines.config import FleetConfig, config_from_document
 
 EXIT_MISSED = 1
 EXIT_FAULTS = 2
--- a/packages/leadford-cli/src/leadford_cli/tests/test_pages.py
+++ b/packages/leadford-cli/src/leadford_cli/tests/test_pages.py
@@ -7,8 +7,8 @@
 import pytest
 from returns.result import Success
 
-from leadford.config import config_from_document
-from leadford.language import parse
+from leadford.pipelines.config import config_from_document
+from leadford.pipelines.language import parse
 
 ROOT = Path(__file__).parents[5]
 PAGES = sorted((ROOT / "docs" / "operators").glob("*.md"))
@@ -29,7 +29,7 @@
     shown = {
         type(parse(s).unwrap()) for s in statements(PAGES[0].parent / "language.md")
     }
-    from leadford import language
+    from leadford.pipelines import language
 
     kinds = set(language.Statement.__args__)
     assert kinds <= shown
--- a/packages/leadford-server/src/leadford_server/forward/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/__init__.py
@@ -1,6 +1,6 @@
 """Forward requests to endpoints without an agent, with their stages before them."""
 
-from leadford_server.forward._contract import (
+from leadford_server.forwarding._contract import (
     AnswerHead,
     ForwardCall,
     HeaderList,
@@ -14,8 +14,8 @@
     PieceOutcome,
     RequestWire,
 )
-from leadford_server.forward._process import ForwardProcess, ForwardSettings
-from leadford_server.forward._state import ForwardBounds
+from leadford_server.forwarding._process import ForwardProcess, ForwardSettings
+from leadford_server.forwarding._state import ForwardBounds
 
 __all__ = [
     "AnswerHead",
--- a/packages/leadford-server/src/leadford_server/forward/_attempt.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_attempt.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from leadford.endpoints import EndpointRecord
-from leadford_server.forward._connection import EndpointConnection, LiveAnswer
+from leadford.forwarding.endpoints import EndpointRecord
+from leadford_server.forwarding._connection import EndpointConnection, LiveAnswer
 
 
 class End(Enum):
--- a/packages/leadford-server/src/leadford_server/forward/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_connection.py
@@ -9,7 +9,11 @@
 from tornado.iostream import IOStream
 
 from leadford.common import RequestId
-from leadford_server.forward._contract import AnswerHead, OutboundRequest, RequestWire
+from leadford_server.forwarding._contract import (
+    AnswerHead,
+    OutboundRequest,
+    RequestWire,
+)
 
 ANSWER_BYTES_MAX = 64 * 1024 * 1024
 HEADER_BYTES_MAX = 64 * 1024
--- a/packages/leadford-server/src/leadford_server/forward/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -9,9 +9,9 @@
 from returns.result import Result
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
-from leadford.endpoints import ListedEndpoint, PromptShape, ReportedLoad
-from leadford.forwarding import ForwardConfig, ResultHandle
-from leadford.pieces import PieceTask
+from leadford.forwarding.batching import PieceTask
+from leadford.forwarding.endpoints import ListedEndpoint, PromptShape, ReportedLoad
+from leadford.forwarding.routes import ForwardConfig, ResultHandle
 
 HeaderList = list[tuple[str, str]]
 
--- a/packages/leadford-server/src/leadford_server/forward/_door.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_door.py
@@ -7,8 +7,8 @@
 from tornado import httpserver, httputil, iostream
 from tornado.http1connection import HTTP1Connection
 
-from leadford.forwarding import TrafficLimits
-from leadford_server.forward._contract import HeaderList, InboundRequest, RequestWire
+from leadford.forwarding.routes import TrafficLimits
+from leadford_server.forwarding._contract import HeaderList, InboundRequest, RequestWire
 
 REST_GRACE_S = 2.0
 # Heads up to this multiple of the limit are read, so that they get an answer.
--- a/packages/leadford-server/src/leadford_server/forward/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_follow.py
@@ -9,7 +9,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
 from leadford.events import Event
-from leadford_server.forward._contract import ObjectEvent, ObjectWire
+from leadford_server.forwarding._contract import ObjectEvent, ObjectWire
 from leadford_server.logs import EventLog
 from leadford_server.metrics import STORE_CALLS_TOTAL
 from leadford_server.web import fetch
--- a/packages/leadford-server/src/leadford_server/forward/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
@@ -4,15 +4,15 @@
 
 from returns.result import Failure, Result, Success
 
-from leadford.admission import StageCapacity
 from leadford.common import HallId
-from leadford.endpoints import EndpointRecord
-from leadford.forwarding import Admitted, ResultHandle, ServiceId
-from leadford.pieces import PieceGraph, queue_delay_s
-from leadford_server.forward._contract import InboundRequest
-from leadford_server.forward._jobs import StageFailure, StageJob
-from leadford_server.forward._stages import StageRunner
-from leadford_server.forward._state import ForwardState
+from leadford.forwarding.admission import StageCapacity
+from leadford.forwarding.batching import PieceGraph, queue_delay_s
+from leadford.forwarding.endpoints import EndpointRecord
+from leadford.forwarding.routes import Admitted, ResultHandle, ServiceId
+from leadford_server.forwarding._contract import InboundRequest
+from leadford_server.forwarding._jobs import StageFailure, StageJob
+from leadford_server.forwarding._stages import StageRunner
+from leadford_server.forwarding._state import ForwardState
 from leadford_server.metrics import STAGE_SECONDS
 
 CHECK_PART = 0.42
--- a/packages/leadford-server/src/leadford_server/forward/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
-from leadford.forwarding import ResultHandle
-from leadford.pieces import GroupId, PieceGraph, PieceKey, PieceTask
+from leadford.forwarding.batching import GroupId, PieceGraph, PieceKey, PieceTask
+from leadford.forwarding.routes import ResultHandle
 
 
 class StageFailure(Exception):
--- a/packages/leadford-server/src/leadford_server/forward/_keeper.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_keeper.py
@@ -8,10 +8,8 @@
 from returns.result import Failure
 
 from leadford.common import EndpointId, EntryId, HallId
-from leadford.endpoints import EndpointRecord
 from leadford.events import Event
-from leadford.forwarding import PieceLimits, ResultHandle, Service
-from leadford.pieces import (
+from leadford.forwarding.batching import (
     PAUSE_FULL_S,
     PAUSE_ROOM_S,
     Chunk,
@@ -21,9 +19,11 @@
     PieceQueue,
     PieceTask,
 )
-from leadford_server.forward._connection import ExchangeBroken
-from leadford_server.forward._contract import PieceOutcome
-from leadford_server.forward._state import ForwardState
+from leadford.forwarding.endpoints import EndpointRecord
+from leadford.forwarding.routes import PieceLimits, ResultHandle, Service
+from leadford_server.forwarding._connection import ExchangeBroken
+from leadford_server.forwarding._contract import PieceOutcome
+from leadford_server.forwarding._state import ForwardState
 from leadford_server.metrics import PIECE_CALLS_TOTAL, PIECES_TOTAL
 
 CALL_PATIENCE = 2.5
--- a/packages/leadford-server/src/leadford_server/forward/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -6,12 +6,10 @@
 
 import msgspec
 
-from leadford.admission import Promise
 from leadford.common import EndpointId, EntryId, HallId, RequestId
-from leadford.endpoints import ListedEndpoint
 from leadford.events import Event
-from leadford.forwarding import ForwardConfig, ResultHandle, ServiceId
-from leadford.pieces import (
+from leadford.forwarding.admission import Promise
+from leadford.forwarding.batching import (
     CommitmentKey,
     GroupId,
     GroupLoad,
@@ -21,6 +19,8 @@
     PlaceId,
     keepers_in_order,
 )
+from leadford.forwarding.endpoints import ListedEndpoint
+from leadford.forwarding.routes import ForwardConfig, ResultHandle, ServiceId
 from leadford.protocol import (
     CommitmentReport,
     EntryAddress,
@@ -40,10 +40,10 @@
     PieceWorking,
     RefusalReport,
 )
-from leadford_server.forward._contract import KnownEntry
-from leadford_server.forward._keeper import KeptAnswer
-from leadford_server.forward._stages import StageRunner
-from leadford_server.forward._state import ForwardState
+from leadford_server.forwarding._contract import KnownEntry
+from leadford_server.forwarding._keeper import KeptAnswer
+from leadford_server.forwarding._stages import StageRunner
+from leadford_server.forwarding._state import ForwardState
 from leadford_server.peers import Dialer, Identity, PeerConnection, PeerServer
 from leadford_server.settings import SocketAddress
 
--- a/packages/leadford-server/src/leadford_server/forward/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pool.py
@@ -4,13 +4,13 @@
 from collections import deque
 
 from leadford.common import EndpointId
-from leadford.endpoints import EndpointAddress, EndpointRecord
-from leadford_server.forward._connection import (
+from leadford.forwarding.endpoints import EndpointAddress, EndpointRecord
+from leadford_server.forwarding._connection import (
     BreakKind,
     EndpointConnection,
     ExchangeBroken,
 )
-from leadford_server.forward._contract import RequestWire
+from leadford_server.forwarding._contract import RequestWire
 from leadford_server.metrics import CONNECTIONS_OPENED_TOTAL
 
 CONNECT_S = 0.35
--- a/packages/leadford-server/src/leadford_server/forward/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -9,30 +9,30 @@
 from tornado import httpserver, web
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 
-from leadford.admission import ForwardAdmission
 from leadford.common import EntryId, HallId
-from leadford.endpoints import ListedEndpoint
 from leadford.events import Event
-from leadford.forwarding import ForwardConfig, RouteTable
-from leadford.pieces import RegionMap
-from leadford_server.forward._attempt import End
-from leadford_server.forward._contract import (
+from leadford.forwarding.admission import ForwardAdmission
+from leadford.forwarding.batching import RegionMap
+from leadford.forwarding.endpoints import ListedEndpoint
+from leadford.forwarding.routes import ForwardConfig, RouteTable
+from leadford_server.forwarding._attempt import End
+from leadford_server.forwarding._contract import (
     KnownEntry,
     ObjectEvent,
     ObjectWire,
     RequestWire,
 )
-from leadford_server.forward._door import Door, Exchange
-from leadford_server.forward._follow import (
+from leadford_server.forwarding._door import Door, Exchange
+from leadford_server.forwarding._follow import (
     STATUS_CONFLICT,
     KindFollower,
     Listing,
     ObjectsClient,
 )
-from leadford_server.forward._links import EntryLinks
-from leadford_server.forward._run import ForwardRun
-from leadford_server.forward._stages import StageRunner
-from leadford_server.forward._state import ForwardBounds, ForwardState
+from leadford_server.forwarding._links import EntryLinks
+from leadford_server.forwarding._run import ForwardRun
+from leadford_server.forwarding._stages import StageRunner
+from leadford_server.forwarding._state import ForwardBounds, ForwardState
 from leadford_server.logs import EventLog
 from leadford_server.metrics import MetricsHandler
 from leadford_server.settings import SocketAddress
--- a/packages/leadford-server/src/leadford_server/forward/_run.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_run.py
@@ -4,24 +4,24 @@
 
 from returns.result import Failure
 
-from leadford.admission import ForwardAdmission, Verdict
 from leadford.common import EndpointId
-from leadford.endpoints import EndpointRecord, EngineTicket
 from leadford.events import Event
-from leadford.forwarding import Admitted, LookupFault, RouteKind
-from leadford_server.forward._attempt import Attempt, End, NotRun
-from leadford_server.forward._connection import (
+from leadford.forwarding.admission import ForwardAdmission, Verdict
+from leadford.forwarding.endpoints import EndpointRecord, EngineTicket
+from leadford.forwarding.routes import Admitted, LookupFault, RouteKind
+from leadford_server.forwarding._attempt import Attempt, End, NotRun
+from leadford_server.forwarding._connection import (
     BreakKind,
     EndpointConnection,
     ExchangeBroken,
 )
-from leadford_server.forward._contract import ForwardCall, InboundRequest
-from leadford_server.forward._door import CallerGone, Exchange
-from leadford_server.forward._events import EventCutter
-from leadford_server.forward._inputs import RequestInputs
-from leadford_server.forward._jobs import StageFailure
-from leadford_server.forward._stages import StageRunner
-from leadford_server.forward._state import ForwardState
+from leadford_server.forwarding._contract import ForwardCall, InboundRequest
+from leadford_server.forwarding._door import CallerGone, Exchange
+from leadford_server.forwarding._events import EventCutter
+from leadford_server.forwarding._inputs import RequestInputs
+from leadford_server.forwarding._jobs import StageFailure
+from leadford_server.forwarding._stages import StageRunner
+from leadford_server.forwarding._state import ForwardState
 from leadford_server.metrics import FORWARD_SECONDS, FORWARDED_TOTAL
 
 ANSWER_MARGIN_S = 0.03
--- a/packages/leadford-server/src/leadford_server/forward/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stages.py
@@ -4,8 +4,7 @@
 
 from leadford.common import EndpointId, EntryId, HallId
 from leadford.events import Event
-from leadford.forwarding import PieceLimits, ResultHandle, StageSpec
-from leadford.pieces import (
+from leadford.forwarding.batching import (
     CommitmentKey,
     CommitmentTable,
     GroupId,
@@ -15,20 +14,21 @@
     PieceTask,
     keepers_in_order,
 )
-from leadford_server.forward._jobs import (
+from leadford.forwarding.routes import PieceLimits, ResultHandle, StageSpec
+from leadford_server.forwarding._jobs import (
     KeeperLinks,
     ResultMaker,
     SentPiece,
     StageJob,
 )
-from leadford_server.forward._keeper import (
+from leadford_server.forwarding._keeper import (
     REASON_GONE,
     REASON_LATE,
     REASON_NO_ENDPOINT,
     KeptAnswer,
     PieceKeeper,
 )
-from leadford_server.forward._state import ForwardState
+from leadford_server.forwarding._state import ForwardState
 
 PIECE_TRIES_MAX = 6
 KEEPER_SLACK_S = 2.5
--- a/packages/leadford-server/src/leadford_server/forward/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -5,19 +5,19 @@
 
 import msgspec
 
-from leadford.admission import RefusedMemory
 from leadford.common import Ewma, HallId
-from leadford.endpoints import (
+from leadford.forwarding.admission import RefusedMemory
+from leadford.forwarding.batching import GroupId, PlaceId, RegionMap
+from leadford.forwarding.endpoints import (
     EndpointChooser,
     EndpointRecord,
     EndpointRoster,
     EngineChooser,
 )
-from leadford.forwarding import RouteTable, Service, ServiceId
-from leadford.pieces import GroupId, PlaceId, RegionMap
-from leadford.retries import WindowedRetryBudget
-from leadford_server.forward._contract import RequestWire
-from leadford_server.forward._pool import ConnectionPool
+from leadford.forwarding.retries import WindowedRetryBudget
+from leadford.forwarding.routes import RouteTable, Service, ServiceId
+from leadford_server.forwarding._contract import RequestWire
+from leadford_server.forwarding._pool import ConnectionPool
 from leadford_server.logs import EventLog
 
 CONFIG_FRESH_S = 6.0
--- a/packages/leadford-server/src/leadford_server/forward/tests/test_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/tests/test_connection.py
@@ -6,21 +6,21 @@
 import pytest
 
 from leadford.common import EndpointId, HallId, RequestId
-from leadford.endpoints import (
+from leadford.forwarding.endpoints import (
     EndpointAddress,
     EndpointRecord,
     ListedEndpoint,
     ListedState,
 )
-from leadford.forwarding import ServiceId
+from leadford.forwarding.routes import ServiceId
 from leadford_platform import PlatformRequests
-from leadford_server.forward import OutboundRequest
-from leadford_server.forward._connection import (
+from leadford_server.forwarding import OutboundRequest
+from leadford_server.forwarding._connection import (
     BreakKind,
     EndpointConnection,
     ExchangeBroken,
 )
-from leadford_server.forward._pool import ConnectionPool
+from leadford_server.forwarding._pool import ConnectionPool
 
 ID = RequestId("r1")
 REQUEST = OutboundRequest("GET", "/x", [("Host", "a"), ("X-Attempt-Id", ID)])
--- a/packages/leadford-server/src/leadford_server/main.py
+++ b/packages/leadford-server/src/leadford_server/main.py
@@ -48,7 +48,7 @@
     :param hosts_url: address of the platform's host list
     :param verbosity: info, warning or error
     """
-    from leadford_server.entry import EntryProcess
+    from leadford_server.pipelines.entry import EntryProcess
 
     settings = check_entry_settings(
         entry_id=entry_id,
@@ -88,7 +88,7 @@
     :param secret: secret that all processes of the fleet share
     :param verbosity: info, warning or error
     """
-    from leadford_server.agent import AgentProcess
+    from leadford_server.pipelines.agent import AgentProcess
 
     settings = check_agent_settings(
         endpoint_id=endpoint_id,
--- a/packages/leadford-server/src/leadford_server/agent/__init__.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/__init__.py
@@ -1,12 +1,12 @@
 """The process beside an endpoint: its queue, its results, its orders."""
 
-from leadford_server.agent._adapters import (
+from leadford_server.pipelines.agent._adapters import (
     AdapterOutcome,
     EndpointAdapter,
     endpoint_adapters,
 )
-from leadford_server.agent._process import AgentProcess
-from leadford_server.agent._service import AgentService
+from leadford_server.pipelines.agent._process import AgentProcess
+from leadford_server.pipelines.agent._service import AgentService
 
 __all__ = [
     "AdapterOutcome",
--- a/packages/leadford-server/src/leadford_server/agent/_feeder.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
+from leadford.pipelines.results import KeptResult, ResultStore
 from leadford.protocol import Attach, Credit, Done, NotHeld, TokenPart, Tokens
-from leadford.results import KeptResult, ResultStore
-from leadford_server.agent._adapters import attempt_key
 from leadford_server.peers import PeerConnection
+from leadford_server.pipelines.agent._adapters import attempt_key
 
 TICK_S = 0.02
 
--- a/packages/leadford-server/src/leadford_server/agent/_models.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
@@ -9,7 +9,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
 from leadford.events import Event
-from leadford.placement import ModelCopy, OrderDesk, OrderStep
+from leadford.pipelines.placement import ModelCopy, OrderDesk, OrderStep
 from leadford.protocol import HeldModel, PlanOrder
 from leadford_server.logs import EventLog
 from leadford_server.web import NO_ANSWER, fetch
--- a/packages/leadford-server/src/leadford_server/agent/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
@@ -8,19 +8,19 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 
 from leadford.common import PoolKind
-from leadford.config import FleetConfig, PoolConfig
 from leadford.events import Event
-from leadford.placement import OrderDesk
+from leadford.pipelines.config import FleetConfig, PoolConfig
+from leadford.pipelines.placement import OrderDesk
 from leadford.protocol import Message, PlanOrder, Refused, Submit
-from leadford_server.agent._adapters import endpoint_adapters
-from leadford_server.agent._models import ModelKeeper
-from leadford_server.agent._service import AgentService
-from leadford_server.config import ConfigFollower
 from leadford_server.logs import EventLog
 from leadford_server.metrics import MetricsHandler
 from leadford_server.peers import Identity, PeerConnection, PeerServer
+from leadford_server.pipelines.agent._adapters import endpoint_adapters
+from leadford_server.pipelines.agent._models import ModelKeeper
+from leadford_server.pipelines.agent._service import AgentService
+from leadford_server.pipelines.config import ConfigFollower
+from leadford_server.pipelines.store import StoreClient
 from leadford_server.settings import AgentSettings, SocketAddress
-from leadford_server.store import StoreClient
 
 DRAIN_POLL_S = 0.02
 DRAIN_MAX_S = 120.0
--- a/packages/leadford-server/src/leadford_server/agent/_service.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_service.py
@@ -6,10 +6,16 @@
 
 import msgspec
 
-from leadford.admission import EndpointAdmission, Headroom
 from leadford.common import RefusalReason, WorkspaceId
-from leadford.config import FleetConfig, PoolConfig
 from leadford.events import Event
+from leadford.pipelines.admission import EndpointAdmission, Headroom
+from leadford.pipelines.config import FleetConfig, PoolConfig
+from leadford.pipelines.queues import (
+    QueuedAttempt,
+    WorkspaceTerms,
+    queue_policies,
+)
+from leadford.pipelines.results import KeptResult, ResultStore
 from leadford.protocol import (
     Ack,
     Attach,
@@ -26,20 +32,6 @@
     Refused,
     Submit,
 )
-from leadford.queues import (
-    QueuedAttempt,
-    WorkspaceTerms,
-    queue_policies,
-)
-from leadford.results import KeptResult, ResultStore
-from leadford_server.agent._adapters import (
-    AdapterOutcome,
-    EndpointAdapter,
-    TokenSink,
-    attempt_key,
-)
-from leadford_server.agent._feeder import TokenFeeder
-from leadford_server.agent._models import ModelKeeper
 from leadford_server.logs import EventLog
 from leadford_server.metrics import (
     ATTEMPTS_TOTAL,
@@ -47,6 +39,14 @@
     RUNNING_ATTEMPTS,
 )
 from leadford_server.peers import PeerConnection
+from leadford_server.pipelines.agent._adapters import (
+    AdapterOutcome,
+    EndpointAdapter,
+    TokenSink,
+    attempt_key,
+)
+from leadford_server.pipelines.agent._feeder import TokenFeeder
+from leadford_server.pipelines.agent._models import ModelKeeper
 
 TIMEOUT_GRACE_S = 0.25
 EFFECT_TIMEOUT_S = 30.0
--- a/packages/leadford-server/src/leadford_server/config/__init__.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/__init__.py
@@ -1,7 +1,7 @@
 """Follow the configuration: from the store, from relays and from any peer ahead."""
 
-from leadford_server.config._follower import ConfigFollower
-from leadford_server.config._source import (
+from leadford_server.pipelines.config._follower import ConfigFollower
+from leadford_server.pipelines.config._source import (
     CHUNK_PREFIX,
     HEAD_NAME,
     ConfigSource,
--- a/packages/leadford-server/src/leadford_server/config/_follower.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_follower.py
@@ -6,8 +6,8 @@
 
 from returns.result import Failure
 
-from leadford.config import ConfigTracker, FleetConfig
 from leadford.events import Event
+from leadford.pipelines.config import ConfigTracker, FleetConfig
 from leadford.protocol import (
     ChunkAnswer,
     ChunkRequest,
@@ -15,7 +15,9 @@
     HeadRequest,
     Message,
 )
-from leadford_server.config._source import (
+from leadford_server.logs import EventLog
+from leadford_server.peers import PeerConnection
+from leadford_server.pipelines.config._source import (
     HEAD_NAME,
     ConfigSource,
     PeerSource,
@@ -25,9 +27,7 @@
     answer_head,
     head_from_value,
 )
-from leadford_server.logs import EventLog
-from leadford_server.peers import PeerConnection
-from leadford_server.store import StoreClient, StoreErrorKind
+from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
 POLL_S = 60.0
 FIRST_WAIT_S = 0.2
--- a/packages/leadford-server/src/leadford_server/config/_source.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
@@ -6,7 +6,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from leadford.config import ConfigHead, decode_head, encode_head
+from leadford.pipelines.config import ConfigHead, decode_head, encode_head
 from leadford.protocol import (
     ChunkAnswer,
     ChunkRequest,
@@ -15,7 +15,7 @@
     Message,
 )
 from leadford_server.peers import PeerConnection
-from leadford_server.store import StoreClient, StoredValue
+from leadford_server.pipelines.store import StoreClient, StoredValue
 
 HEAD_NAME = "config/head"
 CHUNK_PREFIX = "config/chunks/"
--- a/packages/leadford-server/src/leadford_server/entry/__init__.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/__init__.py
@@ -1,5 +1,5 @@
 """The process that callers and operators reach."""
 
-from leadford_server.entry._process import EntryProcess
+from leadford_server.pipelines.entry._process import EntryProcess
 
 __all__ = ["EntryProcess"]
--- a/packages/leadford-server/src/leadford_server/entry/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_attempts.py
@@ -4,12 +4,14 @@
 
 import msgspec
 
-from leadford.admission import StageNeed, forecast_pool
 from leadford.common import EndpointId, RefusalReason, RequestId
-from leadford.costs import StageCost
-from leadford.ejection import EndpointState
 from leadford.events import Event
-from leadford.execution import Attempt, RequestExecution, StrayKind
+from leadford.pipelines.admission import StageNeed, forecast_pool
+from leadford.pipelines.costs import StageCost
+from leadford.pipelines.ejection import EndpointState
+from leadford.pipelines.execution import Attempt, RequestExecution, StrayKind
+from leadford.pipelines.retries import AttemptFailure, FailureKind
+from leadford.pipelines.routing import EndpointView, RoutingRequest
 from leadford.protocol import (
     Ack,
     Attach,
@@ -25,14 +27,12 @@
     TokenPart,
     Tokens,
 )
-from leadford.retries import AttemptFailure, FailureKind
-from leadford.routing import EndpointView, RoutingRequest
-from leadford_server.entry._answers import AnswerBuffer
-from leadford_server.entry._body import RequestBody
-from leadford_server.entry._directory import EndpointLink
-from leadford_server.entry._services import EntryServices
-from leadford_server.entry._trail import Trail
 from leadford_server.metrics import COST_MS_TOTAL, STRAYS_TOTAL, TOKENS_TOTAL
+from leadford_server.pipelines.entry._answers import AnswerBuffer
+from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._directory import EndpointLink
+from leadford_server.pipelines.entry._services import EntryServices
+from leadford_server.pipelines.entry._trail import Trail
 
 CREDIT_TOKENS = 64
 PROBE_HEDGE_FRACTION = 0.25
--- a/packages/leadford-server/src/leadford_server/entry/_changes.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_changes.py
@@ -6,7 +6,8 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from leadford.config import (
+from leadford.events import Event
+from leadford.pipelines.config import (
     ConfigChange,
     ConfigFault,
     ConfigHead,
@@ -16,17 +17,16 @@
     encode_head,
     undo_to,
 )
-from leadford.events import Event
-from leadford.language import Command, Undo, plan_command
-from leadford_server.config import (
+from leadford.pipelines.language import Command, Undo, plan_command
+from leadford_server.logs import EventLog
+from leadford_server.pipelines.config import (
     CHUNK_PREFIX,
     HEAD_NAME,
     ConfigFollower,
     StoredHead,
     StoreSource,
 )
-from leadford_server.logs import EventLog
-from leadford_server.store import StoreClient, StoreErrorKind
+from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
 TRIES_MAX = 5
 CONFLICT_RECORDS_SHOWN = 5
--- a/packages/leadford-server/src/leadford_server/entry/_claims.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_claims.py
@@ -9,7 +9,9 @@
 import msgspec
 from returns.result import Failure
 
-from leadford.claims import (
+from leadford.common import EntryId, RequestId
+from leadford.events import Event
+from leadford.pipelines.claims import (
     ClaimBatch,
     ClaimLog,
     SlotView,
@@ -17,14 +19,12 @@
     decode_slot,
     shard_of,
 )
-from leadford.common import EntryId, RequestId
-from leadford.config import FleetConfig
-from leadford.events import Event
+from leadford.pipelines.config import FleetConfig
 from leadford.protocol import ClaimAnswer, ClaimRequest, ClaimVerdict, Message
-from leadford_server.entry._entries import EntryPeers
 from leadford_server.logs import EventLog
 from leadford_server.peers import PeerConnection
-from leadford_server.store import StoreClient, StoreErrorKind
+from leadford_server.pipelines.entry._entries import EntryPeers
+from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
 FORWARD_S = 0.5
 BATCH_MAX = 2000
--- a/packages/leadford-server/src/leadford_server/entry/_directory.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
@@ -6,18 +6,18 @@
 import msgspec
 
 from leadford.common import EndpointId, HallId, HostId, PoolId
-from leadford.config import EndpointConfig, FleetConfig
-from leadford.ejection import EndpointState, OutlierEjector
 from leadford.events import Event
-from leadford.membership import HallMonitor, HostTable, choose_subset
-from leadford.protocol import Load
-from leadford.routing import (
+from leadford.pipelines.config import EndpointConfig, FleetConfig
+from leadford.pipelines.ejection import EndpointState, OutlierEjector
+from leadford.pipelines.membership import HallMonitor, HostTable, choose_subset
+from leadford.pipelines.routing import (
     ClassWait,
     EndpointView,
     LoadReport,
     RoutingPolicy,
     routing_policies,
 )
+from leadford.protocol import Load
 from leadford_server.logs import EventLog
 from leadford_server.peers import Dialer, Identity, PeerConnection, PeerHandler
 
--- a/packages/leadford-server/src/leadford_server/entry/_entries.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
@@ -12,11 +12,11 @@
     rendezvous_order,
     stable_hash,
 )
-from leadford.config import EntryConfig, FleetConfig
-from leadford.membership import choose_relays
+from leadford.pipelines.config import EntryConfig, FleetConfig
+from leadford.pipelines.membership import choose_relays
 from leadford.protocol import Message, Note, NoteAnswer, NoteRequest
-from leadford_server.entry._directory import DialerFactory
 from leadford_server.peers import Dialer, PeerConnection
+from leadford_server.pipelines.entry._directory import DialerFactory
 
 NOTES_KEPT = 50_000
 NOTE_SHARDS = 64
--- a/packages/leadford-server/src/leadford_server/entry/_fanout.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_fanout.py
@@ -8,10 +8,14 @@
 
 from leadford.common import EntryId
 from leadford.protocol import Message, Query, QueryAnswer
-from leadford_server.entry._directory import EndpointDirectory
-from leadford_server.entry._entries import EntryPeers
-from leadford_server.entry._tables import LocalTables, decode_rows, encode_rows
 from leadford_server.peers import PeerConnection
+from leadford_server.pipelines.entry._directory import EndpointDirectory
+from leadford_server.pipelines.entry._entries import EntryPeers
+from leadford_server.pipelines.entry._tables import (
+    LocalTables,
+    decode_rows,
+    encode_rows,
+)
 
 ANSWER_S = 1.5
 AGENT_ANSWER_S = 0.8
--- a/packages/leadford-server/src/leadford_server/entry/_hosts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_hosts.py
@@ -7,7 +7,7 @@
 from tornado.httpclient import AsyncHTTPClient
 
 from leadford.common import HostId
-from leadford.membership import HostState, HostTable
+from leadford.pipelines.membership import HostState, HostTable
 from leadford_server.web import fetch
 
 POLL_S = 2.0
--- a/packages/leadford-server/src/leadford_server/entry/_http.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_http.py
@@ -17,16 +17,20 @@
     RequestId,
     WorkspaceId,
 )
-from leadford_server.entry._answers import AnswerReader, Problem, problem_document
-from leadford_server.entry._body import read_body
-from leadford_server.entry._requests import (
+from leadford_server.pipelines.entry._answers import (
+    AnswerReader,
+    Problem,
+    problem_document,
+)
+from leadford_server.pipelines.entry._body import read_body
+from leadford_server.pipelines.entry._requests import (
     Locator,
     NewRequest,
     RequestTable,
     parse_locator,
 )
-from leadford_server.entry._run import RequestRun
-from leadford_server.entry._services import EntryServices
+from leadford_server.pipelines.entry._run import RequestRun
+from leadford_server.pipelines.entry._services import EntryServices
 
 BODY_BYTES_MAX = 1024 * 1024
 KEY_CHARS_MAX = 256
--- a/packages/leadford-server/src/leadford_server/entry/_operators.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_operators.py
@@ -9,8 +9,8 @@
 from returns.result import Failure
 from tornado import web
 
-from leadford.config import ConfigHead, config_from_document
-from leadford.language import (
+from leadford.pipelines.config import ConfigHead, config_from_document
+from leadford.pipelines.language import (
     Explain,
     Show,
     Subject,
@@ -18,8 +18,8 @@
     filter_table,
     parse,
 )
-from leadford_server.config import ConfigFollower
-from leadford_server.entry._changes import (
+from leadford_server.pipelines.config import ConfigFollower
+from leadford_server.pipelines.entry._changes import (
     Accepted,
     ChangeRefusal,
     ChangeService,
@@ -27,8 +27,8 @@
     plan_from_command,
     plan_from_config,
 )
-from leadford_server.entry._fanout import FanOut
-from leadford_server.entry._tables import (
+from leadford_server.pipelines.entry._fanout import FanOut
+from leadford_server.pipelines.entry._tables import (
     CONFIGURED_TABLES,
     audit_table,
     configured_table,
--- a/packages/leadford-server/src/leadford_server/entry/_planner.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_planner.py
@@ -14,9 +14,9 @@
     HallId,
     PoolId,
 )
-from leadford.config import FleetConfig, ModelConfig
 from leadford.events import Event
-from leadford.placement import (
+from leadford.pipelines.config import FleetConfig, ModelConfig
+from leadford.pipelines.placement import (
     EngineView,
     ModelCopy,
     PlacementPlanner,
@@ -26,10 +26,10 @@
     decode_plan,
 )
 from leadford.protocol import HeldModel, PlanOrder
-from leadford_server.entry._directory import EndpointDirectory
-from leadford_server.entry._entries import EntryPeers
 from leadford_server.logs import EventLog
-from leadford_server.store import StoreClient, StoreErrorKind
+from leadford_server.pipelines.entry._directory import EndpointDirectory
+from leadford_server.pipelines.entry._entries import EntryPeers
+from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
 ROUND_S = 1.0
 READ_S = 5.0
--- a/packages/leadford-server/src/leadford_server/entry/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
@@ -8,37 +8,37 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 
 from leadford.common import EndpointId, EntryId, HallId
-from leadford.config import FleetConfig
 from leadford.events import Event
+from leadford.pipelines.config import FleetConfig
 from leadford.protocol import Done, Draining, Load, Message, Refused
-from leadford_server.config import ConfigFollower
-from leadford_server.entry._changes import ChangeService
-from leadford_server.entry._claims import ClaimService
-from leadford_server.entry._directory import DialerFactory, EndpointDirectory
-from leadford_server.entry._entries import EntryPeers
-from leadford_server.entry._fanout import FanOut
-from leadford_server.entry._hosts import HostPoller
-from leadford_server.entry._http import (
+from leadford_server.logs import EventLog
+from leadford_server.metrics import MetricsHandler
+from leadford_server.peers import Identity, PeerConnection, PeerServer
+from leadford_server.pipelines.config import ConfigFollower
+from leadford_server.pipelines.entry._changes import ChangeService
+from leadford_server.pipelines.entry._claims import ClaimService
+from leadford_server.pipelines.entry._directory import DialerFactory, EndpointDirectory
+from leadford_server.pipelines.entry._entries import EntryPeers
+from leadford_server.pipelines.entry._fanout import FanOut
+from leadford_server.pipelines.entry._hosts import HostPoller
+from leadford_server.pipelines.entry._http import (
     BODY_BYTES_MAX,
     HealthHandler,
     ReadyHandler,
     RequestHandler,
     RequestsHandler,
 )
-from leadford_server.entry._operators import (
+from leadford_server.pipelines.entry._operators import (
     ConfigHandler,
     OperatorDesk,
     StatementsHandler,
 )
-from leadford_server.entry._planner import PlannerService
-from leadford_server.entry._requests import RequestTable
-from leadford_server.entry._services import EntryServices
-from leadford_server.entry._tables import LocalTables
-from leadford_server.logs import EventLog
-from leadford_server.metrics import MetricsHandler
-from leadford_server.peers import Identity, PeerConnection, PeerServer
+from leadford_server.pipelines.entry._planner import PlannerService
+from leadford_server.pipelines.entry._requests import RequestTable
+from leadford_server.pipelines.entry._services import EntryServices
+from leadford_server.pipelines.entry._tables import LocalTables
+from leadford_server.pipelines.store import StoreClient
 from leadford_server.settings import EntrySettings, SocketAddress
-from leadford_server.store import StoreClient
 
 ANNOUNCE_S = 0.5
 DRAIN_POLL_S = 0.02
--- a/packages/leadford-server/src/leadford_server/entry/_requests.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
@@ -7,8 +7,6 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from leadford.admission import PoolForecast, StageNeed, forecast_pool
-from leadford.claims import request_id_for_key
 from leadford.common import (
     EndpointId,
     Outcome,
@@ -17,16 +15,12 @@
     RequestId,
     WorkspaceId,
 )
-from leadford.config import PipelineConfig
 from leadford.events import Event
-from leadford.execution import RequestExecution
+from leadford.pipelines.admission import PoolForecast, StageNeed, forecast_pool
+from leadford.pipelines.claims import request_id_for_key
+from leadford.pipelines.config import PipelineConfig
+from leadford.pipelines.execution import RequestExecution
 from leadford.protocol import Done, Message, Note, NotHeld, Refused, Tokens
-from leadford_server.entry._answers import Answer, Problem
-from leadford_server.entry._attempts import PeerLost
-from leadford_server.entry._body import RequestBody
-from leadford_server.entry._run import RequestRun, make_request_id
-from leadford_server.entry._services import EntryServices
-from leadford_server.entry._trail import Trail, TrailStep
 from leadford_server.metrics import (
     FIRST_TOKEN_SECONDS,
     LIVE_REQUESTS,
@@ -34,6 +28,12 @@
     REQUESTS_TOTAL,
     STRAYS_TOTAL,
 )
+from leadford_server.pipelines.entry._answers import Answer, Problem
+from leadford_server.pipelines.entry._attempts import PeerLost
+from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._run import RequestRun, make_request_id
+from leadford_server.pipelines.entry._services import EntryServices
+from leadford_server.pipelines.entry._trail import Trail, TrailStep
 
 ENDED_KEPT = 500
 REFUSED_KEPT = 1000
--- a/packages/leadford-server/src/leadford_server/entry/_run.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_run.py
@@ -5,18 +5,22 @@
 
 import msgspec
 
-from leadford.admission import StageNeed, forecast_pool
 from leadford.common import Objective, Outcome, RefusalReason, RequestId
 from leadford.events import Event
-from leadford.execution import RequestExecution
+from leadford.pipelines.admission import StageNeed, forecast_pool
+from leadford.pipelines.execution import RequestExecution
+from leadford.pipelines.retries import AttemptFailure, FailureKind, RetryDecision
 from leadford.protocol import ClaimVerdict, Note
-from leadford.retries import AttemptFailure, FailureKind, RetryDecision
-from leadford_server.entry._answers import Answer, AnswerBuffer, Problem
-from leadford_server.entry._attempts import Delivery, StageAttempts, make_failure
-from leadford_server.entry._body import RequestBody
-from leadford_server.entry._services import EntryServices
-from leadford_server.entry._trail import Trail
 from leadford_server.metrics import RETRIES_TOTAL
+from leadford_server.pipelines.entry._answers import Answer, AnswerBuffer, Problem
+from leadford_server.pipelines.entry._attempts import (
+    Delivery,
+    StageAttempts,
+    make_failure,
+)
+from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._services import EntryServices
+from leadford_server.pipelines.entry._trail import Trail
 
 ROOM_POLL_S = 0.05
 
--- a/packages/leadford-server/src/leadford_server/entry/_services.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_services.py
@@ -4,22 +4,22 @@
 from collections.abc import Callable
 from random import Random
 
-from leadford.admission import Deferral, EntitlementLedger, EntryAdmission
 from leadford.common import EntryId, HallId, WorkspaceId
-from leadford.config import FleetConfig
-from leadford.costs import CostAccount
-from leadford.queues import WorkspaceTerms
-from leadford.retries import (
+from leadford.pipelines.admission import Deferral, EntitlementLedger, EntryAdmission
+from leadford.pipelines.config import FleetConfig
+from leadford.pipelines.costs import CostAccount
+from leadford.pipelines.queues import WorkspaceTerms
+from leadford.pipelines.retries import (
     Backoff,
     HedgePolicy,
     RescuePolicy,
     RetryBudget,
     RetryPolicy,
 )
-from leadford_server.entry._claims import ClaimService
-from leadford_server.entry._directory import EndpointDirectory
-from leadford_server.entry._entries import EntryPeers
 from leadford_server.logs import EventLog
+from leadford_server.pipelines.entry._claims import ClaimService
+from leadford_server.pipelines.entry._directory import EndpointDirectory
+from leadford_server.pipelines.entry._entries import EntryPeers
 
 
 class EntryServices:
--- a/packages/leadford-server/src/leadford_server/entry/_tables.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_tables.py
@@ -5,13 +5,13 @@
 import msgspec
 
 from leadford.common import RequestId
-from leadford.config import ConfigHead, FleetConfig
-from leadford.costs import CostLine, StageCost
-from leadford.language import Table
-from leadford_server.config import ConfigFollower
-from leadford_server.entry._requests import RequestTable
-from leadford_server.entry._run import RequestRun
-from leadford_server.entry._services import EntryServices
+from leadford.pipelines.config import ConfigHead, FleetConfig
+from leadford.pipelines.costs import CostLine, StageCost
+from leadford.pipelines.language import Table
+from leadford_server.pipelines.config import ConfigFollower
+from leadford_server.pipelines.entry._requests import RequestTable
+from leadford_server.pipelines.entry._run import RequestRun
+from leadford_server.pipelines.entry._services import EntryServices
 
 COLUMNS_BY_TABLE = {
     "requests": [
--- a/packages/leadford-server/src/leadford_server/entry/tests/test_attempts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/tests/test_attempts.py
@@ -7,10 +7,23 @@
 import pytest
 
 from leadford.common import Outcome
-from leadford.config import EndpointConfig, FleetConfig, PipelineConfig, StageConfig
-from leadford.costs import CostAccount
-from leadford.ejection import OutlierEjector
-from leadford.execution import RequestExecution
+from leadford.pipelines.config import (
+    EndpointConfig,
+    FleetConfig,
+    PipelineConfig,
+    StageConfig,
+)
+from leadford.pipelines.costs import CostAccount
+from leadford.pipelines.ejection import OutlierEjector
+from leadford.pipelines.execution import RequestExecution
+from leadford.pipelines.retries import (
+    Backoff,
+    HedgePolicy,
+    RescuePolicy,
+    RetryBudget,
+    RetryPolicy,
+)
+from leadford.pipelines.routing import EndpointView, routing_policies
 from leadford.protocol import (
     Cancel,
     Done,
@@ -20,17 +33,9 @@
     TokenPart,
     Tokens,
 )
-from leadford.retries import (
-    Backoff,
-    HedgePolicy,
-    RescuePolicy,
-    RetryBudget,
-    RetryPolicy,
-)
-from leadford.routing import EndpointView, routing_policies
-from leadford_server.entry._attempts import PeerLost
-from leadford_server.entry._body import RequestBody
-from leadford_server.entry._run import RequestRun
+from leadford_server.pipelines.entry._attempts import PeerLost
+from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._run import RequestRun
 
 CHECK = StageConfig(name="check", pool="p")
 CONFIRM = StageConfig(name="confirm", pool="p", repeatable=False, effect=True)
--- a/packages/leadford-server/src/leadford_server/store/__init__.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/store/__init__.py
@@ -1,6 +1,6 @@
 """The client of the platform's object API."""
 
-from leadford_server.store._client import (
+from leadford_server.pipelines.store._client import (
     StoreClient,
     StoredValue,
     StoreError,
--- a/packages/leadford-standins/src/leadford_standins/fleet/_processes.py
+++ b/packages/leadford-standins/src/leadford_standins/fleet/_processes.py
@@ -18,7 +18,12 @@
 
 import msgspec
 
-from leadford.config import config_from_document, encode_head, make_head, split
+from leadford.pipelines.config import (
+    config_from_document,
+    encode_head,
+    make_head,
+    split,
+)
 from leadford_standins.fleet._layout import LOOPBACK, FleetSpec, api_key
 from leadford_standins.fleet._serve import ENDPOINT_PARTS
 
--- a/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
@@ -8,9 +8,9 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest, HTTPResponse
 
 from leadford.common import EntryId, HallId
-from leadford.pieces import PlaceId, RegionMap
+from leadford.forwarding.batching import PlaceId, RegionMap
 from leadford_platform import PlatformObjects, PlatformRequests
-from leadford_server.forward import ForwardBounds, ForwardProcess, ForwardSettings
+from leadford_server.forwarding import ForwardBounds, ForwardProcess, ForwardSettings
 from leadford_server.settings import SocketAddress
 from leadford_server.web import fetch
 from leadford_standins.wire._endpoints import (
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from leadford_server.forward import _follow
+from leadford_server.forwarding import _follow
 from leadford_standins.wire import Deployment, Misbehaviour, StoreFault, run_calm
 
 IDS = re.compile(rb"id: (\d+)\ndata: token \1\n\n")
--- a/packages/leadford/src/leadford/forwarding/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/__init__.py
@@ -1,38 +1,7 @@
-"""Forward requests unaltered: routes, services, workspaces and their lookup."""
+"""Decisions of the entry that the users' platform runs: requests forwarded unaltered.
 
-from leadford.forwarding._model import (
-    EngineLimits,
-    ForwardConfig,
-    PieceLimits,
-    ResultHandle,
-    Route,
-    RouteId,
-    RouteKind,
-    Service,
-    ServiceId,
-    StageSpec,
-    TrafficLimits,
-    WeightedService,
-    Workspace,
-)
-from leadford.forwarding._table import Admitted, LookupError, LookupFault, RouteTable
-
-__all__ = [
-    "Admitted",
-    "EngineLimits",
-    "ForwardConfig",
-    "LookupError",
-    "LookupFault",
-    "PieceLimits",
-    "ResultHandle",
-    "Route",
-    "RouteId",
-    "RouteKind",
-    "RouteTable",
-    "Service",
-    "ServiceId",
-    "StageSpec",
-    "TrafficLimits",
-    "WeightedService",
-    "Workspace",
-]
+One subpackage a rule, in the order in which a request meets them: `routes` looks it up,
+`admission` lets it begin, `batching` runs its stages, `endpoints` chooses who answers,
+`retries` says what may follow a failed attempt. `leadford_server.forwarding` carries
+them out. Nothing here is used by `leadford.pipelines`, nor the other way round.
+"""
--- a/packages/leadford/src/leadford/admission/_forward.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_forward.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from leadford.common import Ewma
-from leadford.forwarding import PieceLimits, Route, RouteId, ServiceId
-from leadford.pieces import CommitmentTable
+from leadford.forwarding.batching import CommitmentTable
+from leadford.forwarding.routes import PieceLimits, Route, RouteId, ServiceId
 
 LATER_PART = 0.1
 SPARE_PART = 0.75
--- a/packages/leadford/src/leadford/admission/tests/test_forward.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_forward.py
@@ -5,14 +5,15 @@
 import msgspec
 import pytest
 
-from leadford.admission import (
+from leadford.forwarding.admission import (
     ForwardAdmission,
     Promise,
     RefusedMemory,
     StageCapacity,
     Verdict,
 )
-from leadford.forwarding import (
+from leadford.forwarding.batching import CommitmentKey, CommitmentTable
+from leadford.forwarding.routes import (
     PieceLimits,
     Route,
     RouteId,
@@ -21,7 +22,6 @@
     StageSpec,
     WeightedService,
 )
-from leadford.pieces import CommitmentKey, CommitmentTable
 
 SERVICE = ServiceId("stage")
 LIMITS = PieceLimits(
--- a/packages/leadford/src/leadford/pieces/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/batching/__init__.py
@@ -1,8 +1,8 @@
 """Run the stages before a request: its graph of pieces, and batches over requests."""
 
-from leadford.pieces._commitments import CommitmentKey, CommitmentTable
-from leadford.pieces._graph import PieceGraph, PieceKey, PieceState
-from leadford.pieces._groups import (
+from leadford.forwarding.batching._commitments import CommitmentKey, CommitmentTable
+from leadford.forwarding.batching._graph import PieceGraph, PieceKey, PieceState
+from leadford.forwarding.batching._groups import (
     GroupId,
     GroupLoad,
     GroupTable,
@@ -10,8 +10,19 @@
     RegionMap,
     keepers_in_order,
 )
-from leadford.pieces._lanes import PAUSE_FULL_S, PAUSE_ROOM_S, Lane, LaneTable, LaneUse
-from leadford.pieces._queue import Chunk, PieceQueue, PieceTask, queue_delay_s
+from leadford.forwarding.batching._lanes import (
+    PAUSE_FULL_S,
+    PAUSE_ROOM_S,
+    Lane,
+    LaneTable,
+    LaneUse,
+)
+from leadford.forwarding.batching._queue import (
+    Chunk,
+    PieceQueue,
+    PieceTask,
+    queue_delay_s,
+)
 
 __all__ = [
     "PAUSE_FULL_S",
--- a/packages/leadford/src/leadford/pieces/_commitments.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_commitments.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from leadford.common import EntryId
-from leadford.forwarding import ServiceId
+from leadford.forwarding.routes import ServiceId
 
 FRESH_S = 1.5
 
--- a/packages/leadford/src/leadford/pieces/_graph.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_graph.py
@@ -10,7 +10,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from leadford.forwarding import ResultHandle, StageSpec
+from leadford.forwarding.routes import ResultHandle, StageSpec
 
 PIECES_MAX = 10_000
 
--- a/packages/leadford/src/leadford/pieces/_groups.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_groups.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from leadford.common import EntryId, HallId, rendezvous_order
-from leadford.forwarding import PieceLimits, ServiceId
+from leadford.forwarding.routes import PieceLimits, ServiceId
 
 LOAD_FRESH_S = 1.5
 OTHER_HALL_S = 0.12
--- a/packages/leadford/src/leadford/pieces/_lanes.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_lanes.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from leadford.common import EndpointId, EntryId, HallId
-from leadford.endpoints import EndpointRecord
-from leadford.forwarding import PieceLimits, ResultHandle
+from leadford.forwarding.endpoints import EndpointRecord
+from leadford.forwarding.routes import PieceLimits, ResultHandle
 
 PAUSE_FULL_S = 0.06
 PAUSE_ROOM_S = 0.03
--- a/packages/leadford/src/leadford/pieces/_queue.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_queue.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
-from leadford.forwarding import PieceLimits, ResultHandle, Route
-from leadford.pieces._graph import PieceKey
-from leadford.pieces._groups import moving_s
+from leadford.forwarding.batching._graph import PieceKey
+from leadford.forwarding.batching._groups import moving_s
+from leadford.forwarding.routes import PieceLimits, ResultHandle, Route
 
 URGENT_CALLS = 4.0
 COMPANY_PART = 0.08
--- a/packages/leadford/src/leadford/pieces/tests/test_batches.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
@@ -3,21 +3,7 @@
 import pytest
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
-from leadford.endpoints import (
-    EndpointAddress,
-    EndpointRecord,
-    ListedEndpoint,
-    ListedState,
-)
-from leadford.forwarding import (
-    PieceLimits,
-    ResultHandle,
-    Route,
-    RouteId,
-    RouteKind,
-    ServiceId,
-)
-from leadford.pieces import (
+from leadford.forwarding.batching import (
     Chunk,
     CommitmentKey,
     CommitmentTable,
@@ -34,6 +20,20 @@
     keepers_in_order,
     queue_delay_s,
 )
+from leadford.forwarding.endpoints import (
+    EndpointAddress,
+    EndpointRecord,
+    ListedEndpoint,
+    ListedState,
+)
+from leadford.forwarding.routes import (
+    PieceLimits,
+    ResultHandle,
+    Route,
+    RouteId,
+    RouteKind,
+    ServiceId,
+)
 
 LIMITS = PieceLimits(
     slots=1,
--- a/packages/leadford/src/leadford/pieces/tests/test_graph.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_graph.py
@@ -2,8 +2,8 @@
 
 from hypothesis import given, strategies as st
 
-from leadford.forwarding import ResultHandle, ServiceId, StageSpec
-from leadford.pieces import PieceGraph, PieceKey, PieceState
+from leadford.forwarding.batching import PieceGraph, PieceKey, PieceState
+from leadford.forwarding.routes import ResultHandle, ServiceId, StageSpec
 
 
 def stage(*after, size=10):
--- a/packages/leadford/src/leadford/endpoints/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
@@ -1,20 +1,20 @@
 """Know the endpoints of each service: what is listed, what is observed, whom to ask."""
 
-from leadford.endpoints._choice import ChoicePolicy, EndpointChooser
-from leadford.endpoints._engines import (
+from leadford.forwarding.endpoints._choice import ChoicePolicy, EndpointChooser
+from leadford.forwarding.endpoints._engines import (
     EngineChooser,
     EngineTicket,
     PromptPart,
     PromptShape,
 )
-from leadford.endpoints._model import (
+from leadford.forwarding.endpoints._model import (
     EndpointAddress,
     ListedEndpoint,
     ListedState,
     ReportedLoad,
 )
-from leadford.endpoints._record import EndpointRecord
-from leadford.endpoints._roster import EndpointRoster, RosterChange
+from leadford.forwarding.endpoints._record import EndpointRecord
+from leadford.forwarding.endpoints._roster import EndpointRoster, RosterChange
 
 __all__ = [
     "ChoicePolicy",
--- a/packages/leadford/src/leadford/endpoints/_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from leadford.common import EndpointId, HallId
-from leadford.endpoints._record import EndpointRecord
+from leadford.forwarding.endpoints._record import EndpointRecord
 
 SLOWNESS_NEEDED = 3
 
--- a/packages/leadford/src/leadford/endpoints/_engines.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
@@ -19,7 +19,7 @@
     rendezvous_order,
     rendezvous_weight,
 )
-from leadford.endpoints._record import EndpointRecord
+from leadford.forwarding.endpoints._record import EndpointRecord
 
 TOKENS_PER_MS = 20.0
 RATE_WEIGHT = 0.05
--- a/packages/leadford/src/leadford/endpoints/_model.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_model.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from leadford.common import EndpointId, HallId
-from leadford.forwarding import ServiceId
+from leadford.forwarding.routes import ServiceId
 
 EndpointAddress = NewType("EndpointAddress", str)
 
--- a/packages/leadford/src/leadford/endpoints/_record.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_record.py
@@ -1,7 +1,7 @@
 """Hold what this process believes of one endpoint."""
 
 from leadford.common import Ewma
-from leadford.endpoints._model import ListedEndpoint, ReportedLoad
+from leadford.forwarding.endpoints._model import ListedEndpoint, ReportedLoad
 
 SUSPECT_BASE_S = 0.4
 SUSPECT_MAX_S = 6.0
--- a/packages/leadford/src/leadford/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from leadford.common import EndpointId, HallId
-from leadford.endpoints._model import ListedEndpoint, ListedState
-from leadford.endpoints._record import EndpointRecord
-from leadford.forwarding import ServiceId
+from leadford.forwarding.endpoints._model import ListedEndpoint, ListedState
+from leadford.forwarding.endpoints._record import EndpointRecord
+from leadford.forwarding.routes import ServiceId
 
 GONE_KEPT = 2_000
 GONE_TRUSTED_S = 1.1
--- a/packages/leadford/src/leadford/endpoints/tests/test_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from leadford.common import EndpointId, HallId
-from leadford.endpoints import (
+from leadford.forwarding.endpoints import (
     EndpointAddress,
     EndpointChooser,
     EndpointRecord,
@@ -14,7 +14,7 @@
     PromptShape,
     ReportedLoad,
 )
-from leadford.forwarding import ServiceId
+from leadford.forwarding.routes import ServiceId
 
 HALL = HallId("near")
 
--- a/packages/leadford/src/leadford/endpoints/tests/test_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_roster.py
@@ -3,14 +3,14 @@
 from hypothesis import given, strategies as st
 
 from leadford.common import EndpointId, HallId
-from leadford.endpoints import (
+from leadford.forwarding.endpoints import (
     EndpointAddress,
     EndpointRoster,
     ListedEndpoint,
     ListedState,
     ReportedLoad,
 )
-from leadford.forwarding import ServiceId
+from leadford.forwarding.routes import ServiceId
 
 SERVICE = ServiceId("s")
 
--- a/packages/leadford/src/leadford/retries/tests/test_window.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_window.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, strategies as st
 
-from leadford.retries import WindowedRetryBudget
+from leadford.forwarding.retries import WindowedRetryBudget
 
 
 def test_slack_is_shared_and_ratio_is_earned():
--- a/packages/leadford/src/leadford/forwarding/_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_table.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from leadford.common import WorkspaceId
-from leadford.forwarding._model import (
+from leadford.forwarding.routes._model import (
     ForwardConfig,
     Route,
     Service,
--- a/packages/leadford/src/leadford/forwarding/tests/test_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_table.py
@@ -6,7 +6,7 @@
 from returns.result import Failure
 
 from leadford.common import ConfigVersion, WorkspaceId
-from leadford.forwarding import (
+from leadford.forwarding.routes import (
     ForwardConfig,
     LookupFault,
     Route,
--- a/packages/leadford/src/leadford/membership/__init__.py
+++ /dev/null
@@ -1,7 +0,0 @@
-"""Know which endpoints can be used, from the host list and from direct evidence."""
-
-from leadford.membership._halls import HallMonitor
-from leadford.membership._hosts import HostState, HostTable
-from leadford.membership._subset import choose_relays, choose_subset
-
-__all__ = ["HallMonitor", "HostState", "HostTable", "choose_relays", "choose_subset"]
--- /dev/null
+++ b/packages/leadford/src/leadford/pipelines/admission/__init__.py
@@ -0,0 +1,26 @@
+"""Admit work only while its deadline can still be met."""
+
+from leadford.pipelines.admission._deferral import Deferral
+from leadford.pipelines.admission._endpoint import EndpointAdmission, ServiceEstimate
+from leadford.pipelines.admission._entitlement import EntitlementLedger
+from leadford.pipelines.admission._entry import (
+    AdmissionVerdict,
+    EntryAdmission,
+    PoolForecast,
+    StageNeed,
+    forecast_pool,
+)
+from leadford.pipelines.admission._headroom import Headroom
+
+__all__ = [
+    "AdmissionVerdict",
+    "Deferral",
+    "EndpointAdmission",
+    "EntitlementLedger",
+    "EntryAdmission",
+    "Headroom",
+    "PoolForecast",
+    "ServiceEstimate",
+    "StageNeed",
+    "forecast_pool",
+]
--- a/packages/leadford/src/leadford/admission/_endpoint.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
@@ -1,7 +1,7 @@
 """Decide at an endpoint's queue whether an attempt can still finish in time."""
 
 from leadford.common import Ewma, RefusalReason, WorkspaceId
-from leadford.queues import QueuedAttempt, QueuePolicy
+from leadford.pipelines.queues import QueuedAttempt, QueuePolicy
 
 ESTIMATE_WEIGHT = 0.05
 DEFAULT_SERVICE_MS = 20.0
--- a/packages/leadford/src/leadford/admission/_entitlement.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_entitlement.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from leadford.common import WorkspaceId
-from leadford.queues import WorkspaceTerms
+from leadford.pipelines.queues import WorkspaceTerms
 
 
 class EntitlementLedger:
--- a/packages/leadford/src/leadford/admission/_entry.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_entry.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from leadford.common import RefusalReason
-from leadford.config import StageConfig
-from leadford.routing import EndpointView
+from leadford.pipelines.config import StageConfig
+from leadford.pipelines.routing import EndpointView
 
 LIVE_REQUESTS_MAX = 4096
 REPORT_TRUSTED_S = 2.0
--- a/packages/leadford/src/leadford/admission/tests/test_admission.py
+++ b/packages/leadford/src/leadford/pipelines/admission/tests/test_admission.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from leadford.admission import (
+from leadford.common import RefusalReason
+from leadford.pipelines.admission import (
     Deferral,
     EndpointAdmission,
     EntitlementLedger,
@@ -12,9 +13,8 @@
     StageNeed,
     forecast_pool,
 )
-from leadford.common import RefusalReason
-from leadford.queues import QueuedAttempt, WorkspaceTerms, queue_policies
-from leadford.routing import ClassWait, EndpointView, LoadReport
+from leadford.pipelines.queues import QueuedAttempt, WorkspaceTerms, queue_policies
+from leadford.pipelines.routing import ClassWait, EndpointView, LoadReport
 
 
 def make_admission(queue_limit=100):
--- a/packages/leadford/src/leadford/claims/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/claims/__init__.py
@@ -1,7 +1,7 @@
 """Claim keys in the platform's store, so that a marked request runs at most once."""
 
-from leadford.claims._keys import request_id_for_key, shard_of
-from leadford.claims._log import (
+from leadford.pipelines.claims._keys import request_id_for_key, shard_of
+from leadford.pipelines.claims._log import (
     ClaimBatch,
     ClaimLog,
     ClaimsFullError,
@@ -10,7 +10,7 @@
     SlotView,
     decode_slot,
 )
-from leadford.claims._pace import WritePace
+from leadford.pipelines.claims._pace import WritePace
 
 __all__ = [
     "ClaimBatch",
--- a/packages/leadford/src/leadford/claims/tests/test_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
@@ -6,7 +6,7 @@
 from hypothesis import given, strategies as st
 from returns.result import Failure
 
-from leadford.claims import (
+from leadford.pipelines.claims import (
     ClaimBatch,
     ClaimLog,
     SlotView,
@@ -14,7 +14,7 @@
     request_id_for_key,
     shard_of,
 )
-from leadford.claims._log import SLOT_CLAIMS_MAX
+from leadford.pipelines.claims._log import SLOT_CLAIMS_MAX
 
 RETENTION_S = 100.0
 
--- a/packages/leadford/src/leadford/config/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/config/__init__.py
@@ -1,19 +1,19 @@
 """Configuration: its typed model, its checks, its stored form and its audit trail."""
 
-from leadford.config._change import (
+from leadford.pipelines.config._change import (
     ConfigChange,
     apply_change,
     make_head,
     undo_to,
     with_audit,
 )
-from leadford.config._check import (
+from leadford.pipelines.config._check import (
     ConfigFault,
     check_config,
     check_transition,
     config_from_document,
 )
-from leadford.config._model import (
+from leadford.pipelines.config._model import (
     EndpointConfig,
     EntryConfig,
     FleetConfig,
@@ -25,7 +25,7 @@
     TuningConfig,
     WorkspaceConfig,
 )
-from leadford.config._store_form import (
+from leadford.pipelines.config._store_form import (
     AuditRecord,
     ChunkDelta,
     ConfigChunk,
--- a/packages/leadford/src/leadford/config/_change.py
+++ b/packages/leadford/src/leadford/pipelines/config/_change.py
@@ -3,9 +3,9 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from leadford.config._check import ConfigFault, check_config
-from leadford.config._model import FleetConfig
-from leadford.config._store_form import (
+from leadford.pipelines.config._check import ConfigFault, check_config
+from leadford.pipelines.config._model import FleetConfig
+from leadford.pipelines.config._store_form import (
     AUDIT_RECORDS_KEPT,
     AuditRecord,
     ChunkDelta,
--- a/packages/leadford/src/leadford/config/_check.py
+++ b/packages/leadford/src/leadford/pipelines/config/_check.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result, Success
 
 from leadford.common import PoolKind
-from leadford.config._model import (
+from leadford.pipelines.config._model import (
     EndpointConfig,
     EntryConfig,
     FleetConfig,
@@ -18,8 +18,8 @@
     TuningConfig,
     WorkspaceConfig,
 )
-from leadford.queues import queue_policies
-from leadford.routing import routing_policies
+from leadford.pipelines.queues import queue_policies
+from leadford.pipelines.routing import routing_policies
 
 _TABLES = {
     "pools": PoolConfig,
--- a/packages/leadford/src/leadford/config/_model.py
+++ b/packages/leadford/src/leadford/pipelines/config/_model.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from leadford.common import Objective, PoolKind, WorkspaceId
-from leadford.queues import WorkspaceTerms
+from leadford.pipelines.queues import WorkspaceTerms
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9_.-]{0,62}$")]
 Address = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
--- a/packages/leadford/src/leadford/config/_store_form.py
+++ b/packages/leadford/src/leadford/pipelines/config/_store_form.py
@@ -13,8 +13,8 @@
 from returns.result import Failure, Result, Success
 
 from leadford.common import stable_hash
-from leadford.config._check import ConfigFault, check_config
-from leadford.config._model import FleetConfig, WorkspaceConfig
+from leadford.pipelines.config._check import ConfigFault, check_config
+from leadford.pipelines.config._model import FleetConfig, WorkspaceConfig
 
 WORKSPACE_CHUNKS = 64
 AUDIT_RECORDS_KEPT = 200
--- a/packages/leadford/src/leadford/config/tests/test_config.py
+++ b/packages/leadford/src/leadford/pipelines/config/tests/test_config.py
@@ -5,7 +5,7 @@
 from hypothesis import given, strategies as st
 from returns.result import Failure
 
-from leadford.config import (
+from leadford.pipelines.config import (
     ConfigTracker,
     WorkspaceConfig,
     apply_change,
--- a/packages/leadford/src/leadford/costs/tests/test_account.py
+++ b/packages/leadford/src/leadford/pipelines/costs/tests/test_account.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from leadford.costs import CostAccount, StageCost
+from leadford.pipelines.costs import CostAccount, StageCost
 
 
 def add(account, workspace, use=StageCost.USEFUL, service_ms=2.0):
--- a/packages/leadford/src/leadford/ejection/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/__init__.py
@@ -1,5 +1,9 @@
 """Keep work away from endpoints that fail or lag, and let them come back."""
 
-from leadford.ejection._outliers import EjectionEvent, EndpointState, OutlierEjector
+from leadford.pipelines.ejection._outliers import (
+    EjectionEvent,
+    EndpointState,
+    OutlierEjector,
+)
 
 __all__ = ["EjectionEvent", "EndpointState", "OutlierEjector"]
--- a/packages/leadford/src/leadford/ejection/tests/test_outliers.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/tests/test_outliers.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from leadford.ejection import EndpointState, OutlierEjector
+from leadford.pipelines.ejection import EndpointState, OutlierEjector
 
 IDS = [f"e{number}" for number in range(6)]
 
--- a/packages/leadford/src/leadford/execution/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/execution/__init__.py
@@ -1,6 +1,6 @@
 """Run one request through its stages: attempts, matching, budgets, true outcomes."""
 
-from leadford.execution._request import (
+from leadford.pipelines.execution._request import (
     Attempt,
     RequestExecution,
     StageBudget,
--- a/packages/leadford/src/leadford/execution/_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/_request.py
@@ -14,7 +14,7 @@
     StageId,
     WorkspaceId,
 )
-from leadford.config import PipelineConfig, StageConfig
+from leadford.pipelines.config import PipelineConfig, StageConfig
 from leadford.protocol import Done, TokenPart
 
 
--- a/packages/leadford/src/leadford/execution/tests/test_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/tests/test_request.py
@@ -3,8 +3,8 @@
 import pytest
 
 from leadford.common import EndpointId, Outcome
-from leadford.config import PipelineConfig, StageConfig
-from leadford.execution import RequestExecution, StrayKind
+from leadford.pipelines.config import PipelineConfig, StageConfig
+from leadford.pipelines.execution import RequestExecution, StrayKind
 from leadford.protocol import Done, DoneStatus, TokenPart
 
 A = EndpointId("a")
--- a/packages/leadford/src/leadford/language/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/language/__init__.py
@@ -1,8 +1,8 @@
 """The operators' language: statements, their grammar, and the changes they make."""
 
-from leadford.language._apply import CommandError, plan_command
-from leadford.language._parse import SyntaxFault, parse
-from leadford.language._statements import (
+from leadford.pipelines.language._apply import CommandError, plan_command
+from leadford.pipelines.language._parse import SyntaxFault, parse
+from leadford.pipelines.language._statements import (
     AddEndpoint,
     AddStage,
     AddWorkspace,
@@ -30,7 +30,7 @@
     Undo,
     UnloadModel,
 )
-from leadford.language._tables import Table, filter_table
+from leadford.pipelines.language._tables import Table, filter_table
 
 __all__ = [
     "AddEndpoint",
--- a/packages/leadford/src/leadford/language/_apply.py
+++ b/packages/leadford/src/leadford/pipelines/language/_apply.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from leadford.common import Objective
-from leadford.config import (
+from leadford.pipelines.config import (
     EndpointConfig,
     FleetConfig,
     ModelConfig,
@@ -15,7 +15,7 @@
     TuningConfig,
     WorkspaceConfig,
 )
-from leadford.language import _statements as s
+from leadford.pipelines.language import _statements as s
 
 
 class CommandError(msgspec.Struct, frozen=True):
--- a/packages/leadford/src/leadford/language/_parse.py
+++ b/packages/leadford/src/leadford/pipelines/language/_parse.py
@@ -5,8 +5,8 @@
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput, VisitError
 from returns.result import Failure, Result, Success
 
-from leadford.language import _statements as s
-from leadford.language._grammar import GRAMMAR
+from leadford.pipelines.language import _statements as s
+from leadford.pipelines.language._grammar import GRAMMAR
 
 STATEMENT_CHARS_MAX = 2000
 EXPECTED_SHOWN = 12
--- a/packages/leadford/src/leadford/language/_tables.py
+++ b/packages/leadford/src/leadford/pipelines/language/_tables.py
@@ -5,7 +5,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from leadford.language._statements import Comparison, Condition
+from leadford.pipelines.language._statements import Comparison, Condition
 
 Cell = str | int | float | bool | None
 
--- a/packages/leadford/src/leadford/language/tests/test_language.py
+++ b/packages/leadford/src/leadford/pipelines/language/tests/test_language.py
@@ -5,8 +5,8 @@
 from hypothesis import given, strategies as st
 from returns.result import Failure
 
-from leadford.config import config_from_document
-from leadford.language import (
+from leadford.pipelines.config import config_from_document
+from leadford.pipelines.language import (
     AddWorkspace,
     Condition,
     Drain,
@@ -18,7 +18,7 @@
     parse,
     plan_command,
 )
-from leadford.language._statements import Comparison, Scope
+from leadford.pipelines.language._statements import Comparison, Scope
 
 CONFIG = config_from_document(
     {
--- /dev/null
+++ b/packages/leadford/src/leadford/pipelines/membership/__init__.py
@@ -0,0 +1,7 @@
+"""Know which endpoints can be used, from the host list and from direct evidence."""
+
+from leadford.pipelines.membership._halls import HallMonitor
+from leadford.pipelines.membership._hosts import HostState, HostTable
+from leadford.pipelines.membership._subset import choose_relays, choose_subset
+
+__all__ = ["HallMonitor", "HostState", "HostTable", "choose_relays", "choose_subset"]
--- a/packages/leadford/src/leadford/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/pipelines/membership/tests/test_membership.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from leadford.membership import (
+from leadford.pipelines.membership import (
     HallMonitor,
     HostState,
     HostTable,
--- a/packages/leadford/src/leadford/placement/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/placement/__init__.py
@@ -1,8 +1,8 @@
 """Decide which models and versions are loaded on which engine."""
 
-from leadford.placement._lease import PlanningLease, PlanRecord, decode_plan
-from leadford.placement._orders import OrderDesk, OrderKind, OrderStep
-from leadford.placement._planner import (
+from leadford.pipelines.placement._lease import PlanningLease, PlanRecord, decode_plan
+from leadford.pipelines.placement._orders import OrderDesk, OrderKind, OrderStep
+from leadford.pipelines.placement._planner import (
     EngineView,
     ModelCopy,
     PlacementPlanner,
--- a/packages/leadford/src/leadford/placement/_lease.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_lease.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from leadford.common import EntryId
-from leadford.placement._planner import Plan
+from leadford.pipelines.placement._planner import Plan
 
 LEASE_S = 15.0
 RENEW_S = 5.0
--- a/packages/leadford/src/leadford/placement/_orders.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_orders.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from leadford.placement._planner import ModelCopy
+from leadford.pipelines.placement._planner import ModelCopy
 
 DOUBT_S = 5.0
 
--- a/packages/leadford/src/leadford/placement/_planner.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_planner.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from leadford.common import EndpointId, HallId, TokenBucket, rendezvous_weight
-from leadford.config import ModelConfig
+from leadford.pipelines.config import ModelConfig
 
 LOADS_AT_ONCE_FRACTION = 0.34
 
--- a/packages/leadford/src/leadford/placement/tests/test_placement.py
+++ b/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
@@ -3,8 +3,8 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from leadford.config import ModelConfig
-from leadford.placement import (
+from leadford.pipelines.config import ModelConfig
+from leadford.pipelines.placement import (
     EngineView,
     ModelCopy,
     OrderDesk,
--- a/packages/leadford/src/leadford/queues/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/queues/__init__.py
@@ -1,14 +1,14 @@
 """Order the work that waits in front of an endpoint."""
 
-from leadford.queues._base import (
+from leadford.pipelines.queues._base import (
     QueuedAttempt,
     QueuePolicy,
     WorkspaceTerms,
     queue_policies,
 )
-from leadford.queues._elastic import GuaranteedMinimum
-from leadford.queues._fair import WeightedFair
-from leadford.queues._fifo import EarliestDeadline, FirstInFirstOut
+from leadford.pipelines.queues._elastic import GuaranteedMinimum
+from leadford.pipelines.queues._fair import WeightedFair
+from leadford.pipelines.queues._fifo import EarliestDeadline, FirstInFirstOut
 
 __all__ = [
     "EarliestDeadline",
--- a/packages/leadford/src/leadford/queues/_classes.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_classes.py
@@ -1,7 +1,7 @@
 """Serve classes of priority in order, with a small part left to the lowest."""
 
 from leadford.common import WorkspaceId
-from leadford.queues._base import ItemIndexMixin, QueuedAttempt, TermsLookup
+from leadford.pipelines.queues._base import ItemIndexMixin, QueuedAttempt, TermsLookup
 
 LOWEST_CLASS_TURN = 20
 
--- a/packages/leadford/src/leadford/queues/_elastic.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_elastic.py
@@ -5,9 +5,9 @@
 """
 
 from leadford.common import WorkspaceId
-from leadford.queues._base import QueuedAttempt, TermsLookup, queue_policies
-from leadford.queues._classes import ClassQueueMixin
-from leadford.queues._flows import FlowTable
+from leadford.pipelines.queues._base import QueuedAttempt, TermsLookup, queue_policies
+from leadford.pipelines.queues._classes import ClassQueueMixin
+from leadford.pipelines.queues._flows import FlowTable
 
 USAGE_HALF_LIFE_S = 2.0
 MINIMUM_FLOOR = 0.001
--- a/packages/leadford/src/leadford/queues/_fair.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_fair.py
@@ -3,9 +3,9 @@
 from heapq import heappop, heappush
 
 from leadford.common import WorkspaceId
-from leadford.queues._base import QueuedAttempt, TermsLookup, queue_policies
-from leadford.queues._classes import ClassQueueMixin
-from leadford.queues._flows import FlowTable
+from leadford.pipelines.queues._base import QueuedAttempt, TermsLookup, queue_policies
+from leadford.pipelines.queues._classes import ClassQueueMixin
+from leadford.pipelines.queues._flows import FlowTable
 
 TAGS_KEPT = 1024
 
--- a/packages/leadford/src/leadford/queues/_fifo.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_fifo.py
@@ -4,7 +4,7 @@
 from heapq import heappop, heappush
 
 from leadford.common import WorkspaceId
-from leadford.queues._base import (
+from leadford.pipelines.queues._base import (
     ItemIndexMixin,
     QueuedAttempt,
     TermsLookup,
--- a/packages/leadford/src/leadford/queues/_flows.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_flows.py
@@ -3,7 +3,7 @@
 from heapq import heappop, heappush
 
 from leadford.common import WorkspaceId
-from leadford.queues._base import QueuedAttempt
+from leadford.pipelines.queues._base import QueuedAttempt
 
 
 class Flow:
--- a/packages/leadford/src/leadford/queues/tests/test_policies.py
+++ b/packages/leadford/src/leadford/pipelines/queues/tests/test_policies.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from leadford.queues import QueuedAttempt, WorkspaceTerms, queue_policies
+from leadford.pipelines.queues import QueuedAttempt, WorkspaceTerms, queue_policies
 
 FAIR = ("weighted_fair", "guaranteed_minimum")
 
--- a/packages/leadford/src/leadford/results/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/results/__init__.py
@@ -1,5 +1,5 @@
 """Keep the results of attempts at an agent until they are acknowledged."""
 
-from leadford.results._kept import KeptResult, ResultStore, StreamCursor
+from leadford.pipelines.results._kept import KeptResult, ResultStore, StreamCursor
 
 __all__ = ["KeptResult", "ResultStore", "StreamCursor"]
--- a/packages/leadford/src/leadford/results/tests/test_kept.py
+++ b/packages/leadford/src/leadford/pipelines/results/tests/test_kept.py
@@ -1,7 +1,7 @@
 """Kept results are fed under credit, taken over, and bounded."""
 
+from leadford.pipelines.results import ResultStore
 from leadford.protocol import Done, DoneStatus
-from leadford.results import ResultStore
 
 
 def make_done(sequence=0):
--- a/packages/leadford/src/leadford/retries/_decision.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_decision.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from leadford.common import EndpointId, RefusalReason
-from leadford.retries._backoff import Backoff
-from leadford.retries._budget import RetryBudget
+from leadford.pipelines.retries._backoff import Backoff
+from leadford.pipelines.retries._budget import RetryBudget
 
 ATTEMPTS_MAX = 4
 
--- a/packages/leadford/src/leadford/retries/tests/test_retries.py
+++ b/packages/leadford/src/leadford/pipelines/retries/tests/test_retries.py
@@ -6,7 +6,7 @@
 from hypothesis import given, strategies as st
 
 from leadford.common import RefusalReason
-from leadford.retries import (
+from leadford.pipelines.retries import (
     AttemptFailure,
     Backoff,
     FailureKind,
--- a/packages/leadford/src/leadford/routing/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/routing/__init__.py
@@ -1,6 +1,6 @@
 """Choose the endpoint on which an attempt runs."""
 
-from leadford.routing._base import (
+from leadford.pipelines.routing._base import (
     ClassWait,
     EndpointView,
     LoadReport,
@@ -8,9 +8,9 @@
     RoutingRequest,
     routing_policies,
 )
-from leadford.routing._baselines import LeastLoaded, PowerOfTwo, RoundRobin
-from leadford.routing._expected_finish import ExpectedFinish
-from leadford.routing._prefixes import PrefixIndex
+from leadford.pipelines.routing._baselines import LeastLoaded, PowerOfTwo, RoundRobin
+from leadford.pipelines.routing._expected_finish import ExpectedFinish
+from leadford.pipelines.routing._prefixes import PrefixIndex
 
 __all__ = [
     "ClassWait",
--- a/packages/leadford/src/leadford/routing/_base.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_base.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from leadford.common import EndpointId, HallId, Objective, Registry
-from leadford.routing._prefixes import PrefixIndex
+from leadford.pipelines.routing._prefixes import PrefixIndex
 
 REPORT_HALF_LIFE_S = 1.0
 PRIORITIES = 10
--- a/packages/leadford/src/leadford/routing/_baselines.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_baselines.py
@@ -2,7 +2,11 @@
 
 from random import Random
 
-from leadford.routing._base import EndpointView, RoutingRequest, routing_policies
+from leadford.pipelines.routing._base import (
+    EndpointView,
+    RoutingRequest,
+    routing_policies,
+)
 
 
 def _load(view: EndpointView) -> int:
--- a/packages/leadford/src/leadford/routing/_expected_finish.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_expected_finish.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from leadford.common import Objective
-from leadford.routing._base import (
+from leadford.pipelines.routing._base import (
     REPORT_HALF_LIFE_S,
     EndpointView,
     RoutingRequest,
--- a/packages/leadford/src/leadford/routing/tests/test_policies.py
+++ b/packages/leadford/src/leadford/pipelines/routing/tests/test_policies.py
@@ -7,7 +7,7 @@
 from hypothesis import given, strategies as st
 
 from leadford.common import Objective, UnknownVariantError
-from leadford.routing import (
+from leadford.pipelines.routing import (
     EndpointView,
     LoadReport,
     PrefixIndex,
