--- a/packages/leadford-server/src/leadford_server/forwarding/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_connection.py
@@ -139,7 +139,6 @@
         self.wire = wire
         self.rest_s_: float | None = None
         self.idle_since_ = 0.0
-        self.exchanges_ = 0
         self.answer_: LiveAnswer | None = None
 
     @classmethod
@@ -183,7 +182,6 @@
         Errors: raises ExchangeBroken with LOST when the request may have run.
         """
         self.stream.is_idle_ = False
-        self.exchanges_ += 1
         exchange = self._send(request)
         for _ in range(STRAY_ANSWERS_MAX + 1):
             answer = await self._read_head(exchange)
--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -188,9 +188,6 @@
     def read_events(self, body: bytes) -> Result[ObjectEvents, str]:
         """Return what a watch saw."""
 
-    def read_object(self, body: bytes) -> Result[dict, str]:
-        """Return one object."""
-
     def read_config(self, item: dict) -> Result[ForwardConfig, str]:
         """Return the configuration in an object."""
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_door.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_door.py
@@ -47,7 +47,6 @@
         self.task_: asyncio.Task[None] | None = None
         self.has_begun_ = False
         self.is_over_ = False
-        self.is_caller_gone_ = False
 
     def headers_received(
         self, start_line: httputil.RequestStartLine, headers: httputil.HTTPHeaders
@@ -97,7 +96,6 @@
         self.door.exchanges_.discard(self)
 
     def _caller_left(self) -> None:
-        self.is_caller_gone_ = True
         if self.task_ is not None and not self.is_over_:
             self.task_.cancel()
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pool.py
@@ -6,9 +6,7 @@
 from leadford.common import EndpointId
 from leadford.forwarding.endpoints import EndpointAddress, EndpointRecord
 from leadford_server.forwarding._connection import (
-    BreakKind,
     EndpointConnection,
-    ExchangeBroken,
 )
 from leadford_server.forwarding._contract import RequestWire
 from leadford_server.metrics import CONNECTIONS_OPENED_TOTAL
@@ -132,6 +130,3 @@
     rest_s = connection.rest_s_
     allowed_s = REST_DEFAULT_S if rest_s is None else rest_s - REST_MARGIN_S
     return now - connection.idle_since_ < allowed_s
-
-
-__all__ = ["BreakKind", "ConnectionPool", "ExchangeBroken"]
--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -38,6 +38,7 @@
     retry_window_s: float = 10.0
     drain_s: float = 2.0
     grace_s: float = 8.0
+    # Read, so that a malformed value is reported, but nothing decides by it.
     config_s: float = 2.0
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
@@ -103,6 +103,7 @@
             config_version=self._version,
             is_draining=lambda: self.table_.is_leaving_,
         )
+        # Held here because the event loop keeps only weak references to tasks.
         self.seeds_ = [dialers.make(str(seed), lambda: None) for seed in settings.seeds]
 
     def _build_requests(self) -> None:
--- a/packages/leadford/src/leadford/forwarding/routes/_model.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_model.py
@@ -110,7 +110,11 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """Describe a service; `connections_max` of an endpoint holds for all entries."""
+    """Describe a service; `connections_max` of an endpoint holds for all entries.
+
+    Nothing asks `health_path`: outcomes of requests decide. It stays because entries
+    send this message to each other.
+    """
 
     service_id: ServiceId
     connections_max: int
--- a/packages/leadford/src/leadford/pipelines/config/_store_form.py
+++ b/packages/leadford/src/leadford/pipelines/config/_store_form.py
@@ -145,7 +145,6 @@
         self.config_: FleetConfig | None = None
         self.data_by_key_: dict[str, bytes] = {}
         self.unread_version_ = 0
-        self.unread_fault_: ConfigFault | None = None
 
     @property
     def version(self) -> int:
@@ -175,12 +174,10 @@
         result = assemble(head, data_by_key)
         if isinstance(result, Failure):
             self.unread_version_ = head.version
-            self.unread_fault_ = result.failure()
             return result
         self.head_ = head
         self.config_ = result.unwrap()
         self.unread_version_ = 0
-        self.unread_fault_ = None
         wanted = set(head.keys_by_chunk.values())
         self.data_by_key_ = {key: data_by_key[key] for key in wanted}
         return result
--- a/packages/leadford/src/leadford/pipelines/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/pipelines/membership/tests/test_membership.py
@@ -59,22 +59,16 @@
     assert relays[1] in choose_relays(entries, "h1")
 
 
-def test_an_announced_drain_counts_before_the_list_shows_it():
+def test_a_host_is_leaving_as_long_as_the_newest_list_says_so():
     hosts = HostTable()
-    hosts.note_list({"a": HostState.LIVE, "b": HostState.LEAVING})
-    hosts.note_leaving("a")
-    assert hosts.is_leaving("a")
+    hosts.note_list({"a": HostState.LIVE, "b": HostState.LEAVING, "c": HostState.GONE})
+    assert not hosts.is_leaving("a")
     assert hosts.is_leaving("b")
+    assert hosts.is_leaving("c")
     hosts.note_list({"b": HostState.LIVE})
     assert not hosts.is_leaving("a")
     assert not hosts.is_leaving("b")
-
-
-def test_suspicion_expires():
-    hosts = HostTable(suspicion_s=5.0)
-    hosts.note_unreachable("a", 0.0)
-    assert hosts.is_suspected("a", 4.0)
-    assert not hosts.is_suspected("a", 5.0)
+    assert not hosts.is_leaving("c")
 
 
 def make_monitor():
--- a/packages/leadford/src/leadford/pipelines/retries/_budget.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_budget.py
@@ -12,22 +12,16 @@
         self.ratio = ratio
         self.burst = burst
         self.tokens_ = burst
-        self.fresh_ = 0
-        self.spent_ = 0
-        self.denied_ = 0
 
     def note_fresh(self) -> None:
         """Count one fresh attempt."""
         check_fraction("ratio", self.ratio)
-        self.fresh_ += 1
         self.tokens_ = min(self.burst, self.tokens_ + self.ratio)
 
     def try_spend(self) -> bool:
         """Spend one retry if the budget allows it."""
         # Sums of the ratio fall short of whole retries by rounding errors.
         if self.tokens_ < 1.0 - 1e-9:
-            self.denied_ += 1
             return False
         self.tokens_ -= 1.0
-        self.spent_ += 1
         return True
--- a/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
@@ -25,10 +25,6 @@
         if len(self.seen_at_by_prefix_) > self.capacity:
             self.seen_at_by_prefix_.popitem(last=False)
 
-    def note_missed(self, prefix: str) -> None:
-        """Take in that an outcome showed the prefix was not cached."""
-        self.seen_at_by_prefix_.pop(prefix, None)
-
     def holds(self, prefix: str, now: float) -> bool:
         """Tell whether the prefix is probably cached."""
         seen_at = self.seen_at_by_prefix_.get(prefix)
--- a/packages/leadford/src/leadford/pipelines/routing/tests/test_policies.py
+++ b/packages/leadford/src/leadford/pipelines/routing/tests/test_policies.py
@@ -123,8 +123,6 @@
     assert not index.holds("p0", 1.0)
     assert index.holds("p2", 1.0)
     assert not index.holds("p2", 11.0)
-    index.note_missed("p1")
-    assert not index.holds("p1", 1.0)
 
 
 def test_an_unknown_policy_names_the_known_ones():
