--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_calls.py
@@ -0,0 +1,142 @@
+"""Make one call for pieces at an endpoint of a batched stage.
+
+Records what the call shows of the endpoint, and says what became of its pieces. What
+follows for each piece is left to the scheduler of the group.
+"""
+
+import asyncio
+
+import msgspec
+from returns.result import Failure
+
+from leadford.events import Event
+from leadford.forwarding.batching import (
+    GroupId,
+    PieceFailure,
+    PieceTask,
+    call_limit_s,
+)
+from leadford.forwarding.endpoints import EndpointFailure, EndpointRecord
+from leadford.forwarding.routes import PieceLimits, Service
+from leadford_server.forwarding._connection import ExchangeBroken
+from leadford_server.forwarding._contract import NotRunCause, PieceOutcome
+from leadford_server.forwarding._state import ForwardState
+
+STATUS_OK = 200
+# Logged and counted for a call that brought an answer for each of its pieces.
+CALL_DONE = "done"
+CALL_SPOILED = "spoiled"
+
+
+class PieceCall(msgspec.Struct, eq=False):
+    """Hold one call that is under way.
+
+    Units: began_at in seconds of the monotonic clock; room_bytes is the room that was
+    believed to be free at the endpoint.
+    """
+
+    group: GroupId
+    service: Service
+    record: EndpointRecord
+    tasks: list[PieceTask]
+    began_at: float
+    room_bytes: int = 0
+    is_over: bool = False
+    inputs_are_read: bool = False
+
+    @property
+    def limits(self) -> PieceLimits:
+        """Return what bounds a call of the service."""
+        return self.service.pieces
+
+    @property
+    def result_bytes(self) -> int:
+        """Return the room that all results of the call take."""
+        return sum(task.result_bytes for task in self.tasks)
+
+
+class CallEnd(msgspec.Struct, frozen=True):
+    """Say how a call ended.
+
+    `outcomes` are those of the pieces in order, None where the whole call failed; then
+    `detail` says why, and begins with the text of a PieceFailure where one applies.
+    """
+
+    outcomes: list[PieceOutcome] | None
+    detail: str
+
+
+class PieceCalls:
+    """Make calls for pieces."""
+
+    def __init__(self, *, state: ForwardState) -> None:
+        self.state = state
+
+    async def run(self, call: PieceCall) -> CallEnd:
+        """Make a call and return how it ended, within a bounded time."""
+        record = call.record
+        ahead = record.waiting_elsewhere(call.began_at)
+        try:
+            async with asyncio.timeout(
+                call_limit_s(call.limits, len(call.tasks), ahead)
+            ):
+                return await self._exchange(call)
+        except ExchangeBroken as error:
+            record.note_failure(self.state.now(), EndpointFailure.LOST)
+            return CallEnd(None, str(error))
+        except TimeoutError:
+            record.note_failure(self.state.now(), EndpointFailure.SILENT)
+            return CallEnd(None, PieceFailure.SILENT.value)
+
+    async def _exchange(self, call: PieceCall) -> CallEnd:
+        state = self.state
+        record = call.record
+        connection = await state.pool_.acquire(record, call.service.connections_max)
+        try:
+            outbound = state.wire.piece_call(
+                call.tasks, record.listed.endpoint_id, state.now()
+            )
+            body, head = await connection.fetch(outbound)
+        finally:
+            state.pool_.release(record, connection)
+        now = state.now()
+        if head.load is not None:
+            record.note_load(head.load, now)
+        if head.not_run is NotRunCause.REPLACED:
+            record.note_replaced()
+            return CallEnd(None, PieceFailure.REPLACED.value)
+        if head.is_not_run:
+            return CallEnd(None, PieceFailure.FULL.value)
+        if head.status != STATUS_OK:
+            record.note_failure(now, EndpointFailure.ERROR_STATUS)
+            return CallEnd(None, f"status {head.status}")
+        read = state.wire.read_pieces(body)
+        if isinstance(read, Failure) or len(read.unwrap()) != len(call.tasks):
+            record.note_failure(now, EndpointFailure.SPOILED)
+            return CallEnd(None, CALL_SPOILED)
+        elapsed_ms = (now - call.began_at) * 1_000.0
+        expected_ms = call.limits.duration_ms(len(call.tasks))
+        record.note_success(elapsed_ms, elapsed_ms / expected_ms)
+        return CallEnd(read.unwrap(), CALL_DONE)
+
+    def log(self, call: PieceCall, end: CallEnd, *, waiting: int) -> None:
+        """Log how a call ended; `waiting` pieces are left in the queue of its group."""
+        queued_at = min(task.queued_at for task in call.tasks)
+        without_room = sum(
+            outcome.reason == PieceFailure.ROOM.value for outcome in end.outcomes or []
+        )
+        now = self.state.now()
+        self.state.log.report(
+            Event.PIECES_CALLED,
+            service=call.service.service_id,
+            endpoint=call.record.listed.endpoint_id,
+            pieces=len(call.tasks),
+            requests=",".join(sorted({task.request_id for task in call.tasks})),
+            waited_ms=round((call.began_at - queued_at) * 1_000.0),
+            took_ms=round((now - call.began_at) * 1_000.0),
+            room_kb=call.room_bytes // 1_000,
+            needed_kb=call.result_bytes // 1_000,
+            without_room=without_room,
+            waiting=waiting,
+            outcome=end.detail,
+        )
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_free.py
@@ -0,0 +1,81 @@
+"""Free results at endpoints once nobody reads them any more.
+
+Results are collected for a moment, so that one request to an endpoint frees many. Room
+counts as free only after the endpoint has answered; a request that is lost is not made
+again, because a result ends by itself after its retention.
+"""
+
+import asyncio
+from collections.abc import Callable, Coroutine
+
+from leadford.common import EndpointId
+from leadford.forwarding.batching import GroupId, LaneTable
+from leadford.forwarding.endpoints import EndpointRecord
+from leadford.forwarding.routes import ResultHandle, Service
+from leadford_server.forwarding._connection import ExchangeBroken
+from leadford_server.forwarding._state import ForwardState
+
+# Seconds that results are collected before they are freed; commits dceba7c and 33a2606,
+# not measured.
+FREE_DELAY_S = 0.004
+# Seconds that the answer is waited for; commit dceba7c, not measured.
+FREE_TIMEOUT_S = 1.0
+
+
+class ResultFreeing:
+    """Free results, and tell when room came free.
+
+    `on_free` is called with the group whose room grew.
+    """
+
+    def __init__(
+        self,
+        *,
+        state: ForwardState,
+        lanes: LaneTable,
+        spawn: Callable[[Coroutine[None, None, None]], None],
+        on_free: Callable[[GroupId], None],
+    ) -> None:
+        self.state = state
+        self.lanes = lanes
+        self.spawn = spawn
+        self.on_free = on_free
+        self.unread_by_id_: dict[EndpointId, list[ResultHandle]] = {}
+
+    def release(self, endpoint_id: EndpointId, handles: list[ResultHandle]) -> None:
+        """Free results of an endpoint shortly."""
+        due = self.unread_by_id_.setdefault(endpoint_id, [])
+        if not due:
+            self.state.loop.call_later(FREE_DELAY_S, self._send, endpoint_id)
+        due += handles
+
+    def _send(self, endpoint_id: EndpointId) -> None:
+        handles = self.unread_by_id_.pop(endpoint_id, [])
+        record = self.state.roster_.record(endpoint_id)
+        if not handles or record is None:
+            return
+        service = self.state.service(record.listed.service_id)
+        if service is not None:
+            self.spawn(self._free(service, record, handles))
+
+    async def _free(
+        self, service: Service, record: EndpointRecord, handles: list[ResultHandle]
+    ) -> None:
+        endpoint_id = record.listed.endpoint_id
+        state = self.state
+        outbound = state.wire.free_call(handles, endpoint_id)
+        try:
+            async with asyncio.timeout(FREE_TIMEOUT_S):
+                connection = await state.pool_.acquire(record, service.connections_max)
+                try:
+                    await connection.fetch(outbound)
+                finally:
+                    state.pool_.release(record, connection)
+        except (ExchangeBroken, TimeoutError):
+            return
+        # Only now is the room free; another call must not come before.
+        lane = self.lanes.lanes_by_id_.get(endpoint_id)
+        if lane is not None:
+            for handle in handles:
+                lane.free(handle)
+        self.on_free(state.group(service.service_id, record.listed.hall))
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_groups.py
@@ -0,0 +1,149 @@
+"""Choose the group of endpoints, and so the keeper, for the pieces of a stage.
+
+Reads what keepers last said of their groups, and looks itself at those that are kept
+here. The scores stand in `leadford.forwarding.batching`.
+"""
+
+from collections.abc import Iterable, Sequence
+
+from leadford.common import EndpointId, EntryId, HallId
+from leadford.forwarding.batching import (
+    GroupId,
+    GroupLoad,
+    GroupTable,
+    PieceGraph,
+    keepers_in_order,
+)
+from leadford.forwarding.routes import PieceLimits, ServiceId, StageSpec
+from leadford_server.forwarding._jobs import KeeperLinks
+from leadford_server.forwarding._keeper import PieceKeeper
+from leadford_server.forwarding._state import ForwardState
+
+
+class GroupChooser:
+    """Know the keeper and the load of each group, as far as this entry can."""
+
+    def __init__(
+        self, *, state: ForwardState, entry_id: EntryId, keeper: PieceKeeper
+    ) -> None:
+        self.state = state
+        self.entry_id = entry_id
+        self.keeper = keeper
+        self.loads_ = GroupTable()
+        self.links: KeeperLinks | None = None
+
+    def keeper_of(self, group: GroupId) -> EntryId:
+        """Return the live entry that keeps a group."""
+        halls = {}
+        if self.links is not None:
+            halls = self.links.halls_by_live_entry()
+        if not halls or self.state.stop_began_at_ is None:
+            halls[self.entry_id] = self.state.hall
+        return keepers_in_order(group, halls, self.state.regions)[0]
+
+    def choose(
+        self,
+        stage: StageSpec,
+        pieces: int,
+        limits: PieceLimits,
+        *,
+        excluded: frozenset[EndpointId],
+        near_bytes_by_hall: dict[HallId, int],
+        now: float,
+    ) -> GroupId | None:
+        """Return the group that should make pieces, if any endpoint is usable.
+
+        `near_bytes_by_hall` is what need not move between halls for a piece made there.
+        """
+        counts: dict[GroupId, int] = {}
+        near: dict[GroupId, int] = {}
+        for record in self.state.usable(stage.service_id):
+            if record.listed.endpoint_id in excluded or record.is_suspect(now):
+                continue
+            group = self.state.group(stage.service_id, record.listed.hall)
+            counts[group] = counts.get(group, 0) + 1
+            near_bytes = near_bytes_by_hall.get(record.listed.hall, 0)
+            near[group] = max(near.get(group, 0), near_bytes)
+        if not counts:
+            counts = self.state.usable_by_group(stage.service_id)
+        self._look_at_own(counts, now)
+        most = max(near_bytes_by_hall.values(), default=0)
+        return self.loads_.choose(
+            counts,
+            limits,
+            result_bytes=stage.result_bytes,
+            moved_bytes_by_group={
+                group: (most - near.get(group, 0)) * pieces for group in counts
+            },
+            now=now,
+        )
+
+    def wait_s(self, group: GroupId, limits: PieceLimits, now: float) -> float:
+        """Return how long a piece sent now is expected to wait for its call."""
+        endpoints = self.state.usable_by_group(group.service_id)
+        return self.loads_.wait_s(group, limits, endpoints.get(group, 1), now)
+
+    def remaining_s(self, graph: PieceGraph) -> float:
+        """Return how long the stages that are left are expected to take.
+
+        Units: seconds.
+        """
+        now = self.state.now()
+        total_s = 0.0
+        for number in graph.longest_chain():
+            service = self.state.service(graph.stages[number].service_id)
+            if service is None or service.pieces is None:
+                continue
+            wait_s = self._least_wait_s(service.service_id, service.pieces, now)
+            total_s += wait_s + service.pieces.full_call_s
+        return total_s
+
+    def _least_wait_s(
+        self, service_id: ServiceId, limits: PieceLimits, now: float
+    ) -> float:
+        """Return the expected wait in the group of a service where it is least."""
+        counts_by_group = self.state.usable_by_group(service_id)
+        waits = [
+            self.loads_.wait_s(group, limits, count, now)
+            for group, count in counts_by_group.items()
+        ]
+        return min(waits, default=0.0)
+
+    def wait_ms_by_hall(
+        self, stages: Sequence[StageSpec], counts: Sequence[int]
+    ) -> dict[HallId, float]:
+        """Return how long the largest results of a request wait to be made in a hall.
+
+        They should be made where the request itself will run.
+        """
+        sizes = [
+            stage.result_bytes * count
+            for stage, count in zip(stages, counts, strict=True)
+        ]
+        stage = stages[sizes.index(max(sizes))]
+        service = self.state.service(stage.service_id)
+        if service is None or service.pieces is None:
+            return {}
+        now = self.state.now()
+        counts_by_group = self.state.usable_by_group(stage.service_id)
+        self._look_at_own(counts_by_group, now)
+        wait_ms_by_group = {
+            group: self.loads_.wait_s(group, service.pieces, count, now) * 1_000.0
+            for group, count in counts_by_group.items()
+        }
+        groups = self.state.groups(stage.service_id)
+        return {
+            hall: wait_ms_by_group[group]
+            for hall, group in groups.items()
+            if group in wait_ms_by_group
+        }
+
+    def _look_at_own(self, groups: Iterable[GroupId], now: float) -> None:
+        """Look at the groups that are kept here rather than wait for a report."""
+        for group in groups:
+            if self.keeper_of(group) != self.entry_id:
+                continue
+            load = GroupLoad(
+                self.keeper.wait_s(group), self.keeper.room_bytes(group), now
+            )
+            self.loads_.note_load(group, load)
--- a/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
@@ -6,7 +6,14 @@
 
 from leadford.common import HallId
 from leadford.forwarding.admission import StageCapacity
-from leadford.forwarding.batching import PieceGraph, queue_delay_s
+from leadford.forwarding.batching import (
+    ENGINE_INPUTS_READ_S,
+    PieceGraph,
+    engine_fetches_at_once,
+    queue_delay_s,
+    stages_check_at,
+    stages_end_in_time,
+)
 from leadford.forwarding.endpoints import EndpointRecord
 from leadford.forwarding.routes import Admitted, ResultHandle, ServiceId
 from leadford_server.forwarding._contract import InboundRequest
@@ -15,9 +22,6 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.metrics import STAGE_SECONDS
 
-CHECK_PART = 0.42
-INPUTS_READ_S = 0.15
-
 
 class RequestInputs:
     """Hold the job that makes the inputs of one request, if its route has stages."""
@@ -74,7 +78,7 @@
         record = state.engines_.choose(
             state.usable(admitted.service.service_id),
             self.request.prompt,
-            extra_ms_by_hall=self.stages.wait_ms_by_hall(
+            extra_ms_by_hall=self.stages.groups.wait_ms_by_hall(
                 admitted.route.stages, self.request.piece_counts
             ),
             now=state.now(),
@@ -87,11 +91,11 @@
         Errors: raises StageFailure.
         """
         received_at = self.request.received_at
-        check_at = received_at + CHECK_PART * (self.job_.deadline - received_at)
+        check_at = stages_check_at(received_at, self.job_.deadline)
         if not await self._complete_by(check_at):
             left_s = self.job_.deadline - self.state.now()
-            needed_s = self.stages.remaining_s(self.job_)
-            if needed_s > left_s:
+            needed_s = self.stages.groups.remaining_s(self.job_.graph)
+            if not stages_end_in_time(needed_s, left_s):
                 raise StageFailure(f"need {needed_s:.2f} s of {left_s:.2f} s")
             await self.stages.complete(self.job_)
         if self.done_at_ is None:
@@ -123,13 +127,10 @@
 
     def release_soon(self, record: EndpointRecord) -> None:
         """Give the inputs up once an engine without a queue has surely fetched them."""
-        load = record.load_
-        if self.job_ is None or load is None or load.waiting > 0:
-            return
-        if record.waiting_elsewhere(self.state.now()) + record.in_flight_ > load.slots:
+        if self.job_ is None or not engine_fetches_at_once(record, self.state.now()):
             return
         self.state.loop.call_later(
-            INPUTS_READ_S, self._release_unless_needed, self.attempts_begun_
+            ENGINE_INPUTS_READ_S, self._release_unless_needed, self.attempts_begun_
         )
 
     def _release_unless_needed(self, attempt: int) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
@@ -8,6 +8,7 @@
 from leadford.common import EndpointId, EntryId, HallId, RequestId
 from leadford.forwarding.batching import GroupId, PieceGraph, PieceKey, PieceTask
 from leadford.forwarding.routes import ResultHandle
+from leadford_server.forwarding._keeper import KeptAnswer
 
 
 class StageFailure(Exception):
@@ -35,6 +36,9 @@
     ) -> bool:
         """Tell a keeper that results have no reader any more."""
 
+    def reply(self, task: PieceTask, answer: KeptAnswer) -> None:
+        """Send the answer for a piece to the entry that asked."""
+
     def working(self, entry_id: EntryId, tickets: list[int]) -> None:
         """Tell an entry that its pieces have fetched their inputs."""
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_keeper.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_keeper.py
@@ -1,81 +1,67 @@
-"""Keep the queues of groups: fill calls from the pieces of all entries."""
+"""Keep the queues of groups: fill calls from the pieces of all entries.
+
+Owns the queue of each group that this entry keeps, and what this entry has at each
+endpoint. Which call leaves next is decided in `leadford.forwarding.batching`; `_calls`
+makes it, `_free` frees results. Answers go to the entries that asked by `reply`.
+"""
 
 import asyncio
-from collections.abc import Callable
-from functools import partial
+from collections.abc import Callable, Coroutine, Iterable
 
 import msgspec
-from returns.result import Failure
 
-from leadford.common import EndpointId, EntryId, HallId
-from leadford.events import Event
+from leadford.common import EndpointId, EntryId
 from leadford.forwarding.batching import (
+    CALL_INPUTS_READ_S,
     PAUSE_FULL_S,
     PAUSE_ROOM_S,
-    Chunk,
+    FillAction,
     GroupId,
     LaneTable,
     LaneUse,
+    PieceFailure,
     PieceQueue,
     PieceTask,
+    next_call,
 )
-from leadford.forwarding.endpoints import EndpointFailure, EndpointRecord
-from leadford.forwarding.routes import PieceLimits, ResultHandle, Service
-from leadford_server.forwarding._connection import ExchangeBroken
-from leadford_server.forwarding._contract import NotRunCause, PieceOutcome
+from leadford.forwarding.endpoints import EndpointRecord
+from leadford.forwarding.routes import ResultHandle, Service
+from leadford_server.forwarding._calls import CallEnd, PieceCall, PieceCalls
+from leadford_server.forwarding._free import ResultFreeing
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.metrics import PIECE_CALLS_TOTAL, PIECES_TOTAL
 
-CALL_PATIENCE = 2.5
-CALL_SLACK_S = 0.4
-FREE_DELAY_S = 0.004
-FREE_TIMEOUT_S = 1.0
+# Seconds between looks at a group whose pieces no endpoint takes: a pause or a
+# retention ends without any other event. Commit 33a2606, not measured.
 LOOK_S = 0.04
-# After this time an endpoint that was idle has surely begun a call, which it does by
-# fetching the inputs.
-FETCHED_S = 0.08
-RIPE_MARGIN_S = 0.001
-
-REASON_LATE = "late"
-REASON_GONE = "gone"
-REASON_ROOM = "room"
-REASON_FULL = "full"
-REASON_NO_ENDPOINT = "no endpoint"
+# Seconds added to the end of a batching window, so that it is over when it is looked
+# at.
+WINDOW_MARGIN_S = 0.001
+# Counted for a piece that was made.
+PIECE_DONE = "done"
 
 
 class KeptAnswer(msgspec.Struct, frozen=True):
-    """Hold what became of a piece, and at which endpoint."""
+    """Hold what became of a piece, and at which endpoint.
+
+    `reason` is the text of a PieceFailure, perhaps with what is known of the cause,
+    where there is no result.
+    """
 
     handle: ResultHandle | None
     reason: str
     endpoint_id: EndpointId | None
 
+    @property
+    def failure(self) -> PieceFailure:
+        """Return why there is no result."""
+        return PieceFailure.from_text(self.reason)
+
 
 Reply = Callable[[PieceTask, KeptAnswer], None]
 Working = Callable[[list[PieceTask]], None]
 
 
-class _Call(msgspec.Struct, eq=False):
-    """Hold one call that is under way."""
-
-    group: GroupId
-    service: Service
-    record: EndpointRecord
-    tasks: list[PieceTask]
-    began_at: float
-    room_bytes: int = 0
-    is_over: bool = False
-    inputs_are_read: bool = False
-
-    @property
-    def limits(self) -> PieceLimits:
-        return self.service.pieces
-
-    @property
-    def result_bytes(self) -> int:
-        return sum(task.result_bytes for task in self.tasks)
-
-
 class PieceKeeper:
     """Queue pieces by group, call endpoints, and account for the room of results."""
 
@@ -84,8 +70,11 @@
         self.reply = reply
         self.working = working
         self.lanes_ = LaneTable()
+        self.calls = PieceCalls(state=state)
+        self.freeing = ResultFreeing(
+            state=state, lanes=self.lanes_, spawn=self._spawn, on_free=self._wake_group
+        )
         self.queues_by_group_: dict[GroupId, PieceQueue] = {}
-        self.unread_by_id_: dict[EndpointId, list[ResultHandle]] = {}
         self.tasks_: set[asyncio.Task[None]] = set()
         self.pump_due_: set[GroupId] = set()
         self.look_due_: set[GroupId] = set()
@@ -112,11 +101,8 @@
             queue.discard(lambda task: task.home != home)
 
     def release(self, endpoint_id: EndpointId, handles: list[ResultHandle]) -> None:
-        """Give results up: nobody reads them any more."""
-        due = self.unread_by_id_.setdefault(endpoint_id, [])
-        if not due:
-            self.state.loop.call_later(FREE_DELAY_S, self._send_free, endpoint_id)
-        due += handles
+        """Free results: nobody reads them any more."""
+        self.freeing.release(endpoint_id, handles)
 
     def wake(self) -> None:
         """Look again whether calls can leave, after the listing has changed."""
@@ -167,6 +153,7 @@
         ]
 
     def _pump(self, group: GroupId) -> None:
+        """Send the calls of a group that can leave now."""
         self.pump_due_.discard(group)
         queue = self.queues_by_group_[group]
         while len(queue) > 0:
@@ -175,83 +162,46 @@
             service = self.state.service(group.service_id)
             records = self._records(group)
             if service is None or service.pieces is None or not records:
-                for task in queue.discard(lambda task: False):
-                    self._answer(task, KeptAnswer(None, REASON_NO_ENDPOINT, None))
+                self._answer_no_endpoint(queue.discard(lambda task: False))
                 return
-            if not self._send_next(group, service, records, queue, now):
+            if not self._send_next(group, service, records, now):
                 return
 
     def _drop_late(self, queue: PieceQueue, now: float) -> None:
         for task in queue.discard(lambda task: task.deadline > now):
-            self._answer(task, KeptAnswer(None, REASON_LATE, None))
+            self.reply(task, KeptAnswer(None, PieceFailure.LATE.value, None))
+
+    def _answer_no_endpoint(self, tasks: Iterable[PieceTask]) -> None:
+        for task in tasks:
+            self.reply(task, KeptAnswer(None, PieceFailure.NO_ENDPOINT.value, None))
 
     def _send_next(
         self,
         group: GroupId,
         service: Service,
         records: list[EndpointRecord],
-        queue: PieceQueue,
         now: float,
     ) -> bool:
-        """Send one call if an endpoint takes it; return whether to go on."""
-        limits = service.pieces
-        ripe_s = queue.ripe_at(limits) - now
-        if ripe_s > 0.0:
-            self.state.loop.call_later(ripe_s + RIPE_MARGIN_S, self._pump, group)
-            return False
-        first = queue.first()
-        moving_s_by_hall = {
-            record.listed.hall: first.patience_s(record.listed.hall, limits, now)
-            for record in records
-        }
-        free_in_s_by_hall = self._free_in_s_by_hall(records, limits, now)
-        free = self.lanes_.ranked(
-            records,
-            limits,
-            waiting=len(queue),
-            now=now,
-            moving_s_by_hall=moving_s_by_hall,
-        )
-        for record in free:
-            endpoint_id = record.listed.endpoint_id
-            lane = self.lanes_.lane(endpoint_id, limits)
-            if lane.awaits_room(queue.first_bytes(limits.batch), now):
-                continue
-            room_bytes = self.lanes_.room_left(endpoint_id, limits, now)
-            tasks = queue.take(
-                batch=limits.batch,
-                room_bytes=room_bytes,
-                endpoint_id=endpoint_id,
-                hall=record.listed.hall,
-                stays_away=partial(
-                    Chunk.stays_away,
-                    hall=record.listed.hall,
-                    free_in_s_by_hall=free_in_s_by_hall,
-                    limits=limits,
-                    now=now,
-                ),
+        """Do what the rule says next; return whether to ask it again at once."""
+        queue = self.queues_by_group_[group]
+        step = next_call(queue, self.lanes_, records, service.pieces, now)
+        if step.action is FillAction.SEND:
+            tasks = list(step.tasks)
+            self._begin(
+                PieceCall(group, service, step.record, tasks, now, step.room_bytes)
             )
-            if tasks:
-                self._begin(_Call(group, service, record, tasks, now, room_bytes))
-                return True
-        for task in queue.discard(lambda task: not _excludes_all(task, records)):
-            self._answer(task, KeptAnswer(None, REASON_NO_ENDPOINT, None))
+            return True
+        if step.action is FillAction.WAIT_FOR_MORE:
+            wait_s = step.wait_s + WINDOW_MARGIN_S
+            self.state.loop.call_later(wait_s, self._pump, group)
+            return False
+        self._answer_no_endpoint(step.unserved)
         self._look_again(group)
         return False
 
-    def _free_in_s_by_hall(
-        self, records: list[EndpointRecord], limits: PieceLimits, now: float
-    ) -> dict[HallId, float]:
-        """Return when the first endpoint of each hall is expected to be free."""
-        free_in_s: dict[HallId, float] = {}
-        for record in records:
-            if record.is_suspect(now):
-                continue
-            hall = record.listed.hall
-            lane = self.lanes_.lane(record.listed.endpoint_id, limits)
-            lane_s = lane.free_in_s(now)
-            free_in_s[hall] = min(lane_s, free_in_s.get(hall, lane_s))
-        return free_in_s
+    def _wake_group(self, group: GroupId) -> None:
+        if group in self.queues_by_group_:
+            self._pump(group)
 
     def _look_again(self, group: GroupId) -> None:
         """Look again later: a pause or a retention ends without any other event."""
@@ -264,179 +214,81 @@
         self.look_due_.discard(group)
         self._pump(group)
 
-    def _begin(self, call: _Call) -> None:
+    def _begin(self, call: PieceCall) -> None:
         lane = self.lanes_.lane(call.record.listed.endpoint_id, call.limits)
         is_idle = lane.calls_ == 0 and call.record.is_surely_idle(call.began_at)
         lane.begin(len(call.tasks), call.result_bytes, call.began_at)
         call.record.in_flight_ += 1
         self._spawn(self._run_call(call))
         if is_idle:
-            self.state.loop.call_later(FETCHED_S, self._note_working, call)
+            self.state.loop.call_later(CALL_INPUTS_READ_S, self._note_working, call)
 
-    def _note_working(self, call: _Call) -> None:
+    def _note_working(self, call: PieceCall) -> None:
         """Tell that the inputs of a call are fetched, unless it is over."""
         readers = [task for task in call.tasks if task.inputs]
         if readers and not call.is_over:
             call.inputs_are_read = True
             self.working(readers)
 
-    def _queue_again(self, call: _Call, task: PieceTask, reason: str) -> None:
+    def _queue_again(self, call: PieceCall, task: PieceTask, reason: str) -> None:
         """Queue a piece that was not made, unless its inputs were given up."""
         if call.inputs_are_read and task.inputs:
-            self._answer(task, KeptAnswer(None, reason, None))
+            self.reply(task, KeptAnswer(None, reason, None))
             return
         self.queues_by_group_[call.group].push(task)
 
-    def _spawn(self, coroutine) -> None:
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
         running = asyncio.ensure_future(coroutine)
         self.tasks_.add(running)
         running.add_done_callback(self.tasks_.discard)
 
-    async def _run_call(self, call: _Call) -> None:
-        record = call.record
-        outcomes: list[PieceOutcome] | None = None
-        detail = "lost"
-        ahead = 1 + record.waiting_elsewhere(call.began_at)
-        expected_s = call.limits.duration_ms(len(call.tasks)) / 1_000.0 * ahead
+    async def _run_call(self, call: PieceCall) -> None:
+        """Make a call, and settle what became of its pieces."""
         try:
-            async with asyncio.timeout(expected_s * CALL_PATIENCE + CALL_SLACK_S):
-                outcomes, detail = await self._exchange(call)
-        except ExchangeBroken as error:
-            detail = str(error)
-            record.note_failure(self.state.now(), EndpointFailure.LOST)
-        except TimeoutError:
-            detail = "silent"
-            record.note_failure(self.state.now(), EndpointFailure.SILENT)
+            end = await self.calls.run(call)
         finally:
             call.is_over = True
-            lane = self.lanes_.lane(record.listed.endpoint_id, call.limits)
+            lane = self.lanes_.lane(call.record.listed.endpoint_id, call.limits)
             lane.end(call.result_bytes)
-            record.in_flight_ -= 1
-        PIECE_CALLS_TOTAL.labels(end=detail.split(":")[0]).inc()
-        self._log(call, outcomes or [], detail)
-        self._settle(call, outcomes, detail)
+            call.record.in_flight_ -= 1
+        PIECE_CALLS_TOTAL.labels(end=end.detail.split(":")[0]).inc()
+        waiting = len(self.queues_by_group_[call.group])
+        self.calls.log(call, end, waiting=waiting)
+        if end.outcomes is None:
+            self._settle_failed(call, end.detail)
+        else:
+            self._settle(call, end)
         self._pump(call.group)
 
-    async def _exchange(self, call: _Call) -> tuple[list[PieceOutcome] | None, str]:
-        """Return the outcomes, or None with the reason."""
-        state = self.state
-        record = call.record
-        connection = await state.pool_.acquire(record, call.service.connections_max)
-        try:
-            outbound = state.wire.piece_call(
-                call.tasks, record.listed.endpoint_id, state.now()
-            )
-            body, head = await connection.fetch(outbound)
-        finally:
-            state.pool_.release(record, connection)
-        now = state.now()
-        if head.load is not None:
-            record.note_load(head.load, now)
-        if head.not_run is NotRunCause.REPLACED:
-            record.note_replaced()
-            return None, "replaced"
-        if head.is_not_run:
-            self._pause(call, PAUSE_FULL_S)
-            return None, REASON_FULL
-        if head.status != 200:
-            record.note_failure(now, EndpointFailure.ERROR_STATUS)
-            return None, f"status {head.status}"
-        read = state.wire.read_pieces(body)
-        if isinstance(read, Failure) or len(read.unwrap()) != len(call.tasks):
-            record.note_failure(now, EndpointFailure.SPOILED)
-            return None, "spoiled"
-        elapsed_ms = (now - call.began_at) * 1_000.0
-        expected_ms = call.limits.duration_ms(len(call.tasks))
-        record.note_success(elapsed_ms, elapsed_ms / expected_ms)
-        return read.unwrap(), "done"
-
-    def _pause(self, call: _Call, seconds: float) -> None:
-        lane = self.lanes_.lane(call.record.listed.endpoint_id, call.limits)
-        lane.pause(seconds, self.state.now())
-
-    def _settle(
-        self, call: _Call, outcomes: list[PieceOutcome] | None, detail: str
-    ) -> None:
+    def _settle_failed(self, call: PieceCall, detail: str) -> None:
+        """Settle a call that failed as a whole."""
         endpoint_id = call.record.listed.endpoint_id
-        if outcomes is None:
+        if detail == PieceFailure.FULL.value:
+            lane = self.lanes_.lane(endpoint_id, call.limits)
+            lane.pause(PAUSE_FULL_S, self.state.now())
             for task in call.tasks:
-                if detail == REASON_FULL:
-                    self._queue_again(call, task, detail)
-                    continue
-                self._answer(task, KeptAnswer(None, detail, endpoint_id))
+                self._queue_again(call, task, detail)
             return
+        for task in call.tasks:
+            self.reply(task, KeptAnswer(None, detail, endpoint_id))
+
+    def _settle(self, call: PieceCall, end: CallEnd) -> None:
+        """Settle a call by what became of each of its pieces."""
+        endpoint_id = call.record.listed.endpoint_id
         lane = self.lanes_.lane(endpoint_id, call.limits)
         now = self.state.now()
-        pairs = list(zip(call.tasks, outcomes, strict=True))
-        if any(outcome.reason == REASON_ROOM for outcome in outcomes):
+        no_room = PieceFailure.ROOM.value
+        pairs = list(zip(call.tasks, end.outcomes, strict=True))
+        if any(outcome.reason == no_room for outcome in end.outcomes):
             fitted = sum(task.result_bytes for task, item in pairs if item.handle)
             lane.note_refused(call.room_bytes, fitted, now)
         for task, outcome in pairs:
-            PIECES_TOTAL.labels(end=outcome.reason or "done").inc()
-            if outcome.reason == REASON_ROOM:
+            PIECES_TOTAL.labels(end=outcome.reason or PIECE_DONE).inc()
+            if outcome.reason == no_room:
                 # Results that this process does not know take room there.
                 lane.pause(PAUSE_ROOM_S, now)
-                self._queue_again(call, task, REASON_ROOM)
+                self._queue_again(call, task, no_room)
                 continue
             if outcome.handle is not None:
                 lane.hold(outcome.handle, task.result_bytes, now)
-            answer = KeptAnswer(outcome.handle, outcome.reason, endpoint_id)
-            self._answer(task, answer)
-
-    def _answer(self, task: PieceTask, answer: KeptAnswer) -> None:
-        self.reply(task, answer)
-
-    def _send_free(self, endpoint_id: EndpointId) -> None:
-        handles = self.unread_by_id_.pop(endpoint_id, [])
-        record = self.state.roster_.record(endpoint_id)
-        if not handles or record is None:
-            return
-        service = self.state.service(record.listed.service_id)
-        if service is not None:
-            self._spawn(self._free(service, record, handles))
-
-    async def _free(
-        self, service: Service, record: EndpointRecord, handles: list[ResultHandle]
-    ) -> None:
-        """Free results; what is lost here ends by its retention."""
-        state = self.state
-        outbound = state.wire.free_call(handles, record.listed.endpoint_id)
-        try:
-            async with asyncio.timeout(FREE_TIMEOUT_S):
-                connection = await state.pool_.acquire(record, service.connections_max)
-                try:
-                    await connection.fetch(outbound)
-                finally:
-                    state.pool_.release(record, connection)
-        except (ExchangeBroken, TimeoutError):
-            return
-        # Only now is the room free; another call must not come before.
-        lane = self.lanes_.lanes_by_id_.get(record.listed.endpoint_id)
-        if lane is not None:
-            for handle in handles:
-                lane.free(handle)
-        group = state.group(service.service_id, record.listed.hall)
-        if group in self.queues_by_group_:
-            self._pump(group)
-
-    def _log(self, call: _Call, outcomes: list[PieceOutcome], detail: str) -> None:
-        queued_at = min(task.queued_at for task in call.tasks)
-        now = self.state.now()
-        self.state.log.report(
-            Event.PIECES_CALLED,
-            service=call.service.service_id,
-            endpoint=call.record.listed.endpoint_id,
-            pieces=len(call.tasks),
-            requests=",".join(sorted({task.request_id for task in call.tasks})),
-            waited_ms=round((call.began_at - queued_at) * 1_000.0),
-            took_ms=round((now - call.began_at) * 1_000.0),
-            room_kb=call.room_bytes // 1_000,
-            needed_kb=call.result_bytes // 1_000,
-            without_room=sum(item.reason == REASON_ROOM for item in outcomes),
-            waiting=len(self.queues_by_group_[call.group]),
-            outcome=detail,
-        )
-
-
-def _excludes_all(task: PieceTask, records: list[EndpointRecord]) -> bool:
-    return all(record.listed.endpoint_id in task.excluded for record in records)
+            self.reply(task, KeptAnswer(outcome.handle, outcome.reason, endpoint_id))
--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -119,7 +119,7 @@
         while True:
             self._dial()
             self._beat()
-            self.stages.check()
+            self.stages.sent.check()
             await asyncio.sleep(HEARTBEAT_S * self.random.uniform(0.9, 1.1))
 
     def know(self, entries: dict[EntryId, KnownEntry]) -> None:
@@ -187,7 +187,7 @@
                 self.stages.keeper_.room_bytes(group),
             )
             for group in self._groups()
-            if self.stages.keeper_of(group) == self.entry_id
+            if self.stages.groups.keeper_of(group) == self.entry_id
         ]
         message = EntryHeartbeat(
             self.state.roster_.changed_revision_,
@@ -209,7 +209,7 @@
             [
                 LaneReport(use.endpoint_id, use.result_bytes, use.calls)
                 for use in self.stages.keeper_.lanes_left(
-                    lambda group: self.stages.keeper_of(group) != self.entry_id
+                    lambda group: self.stages.groups.keeper_of(group) != self.entry_id
                 )
             ],
         )
@@ -326,7 +326,7 @@
         del self.peers_by_id_[entry_id]
         self.state.log.report(Event.PEER_LOST, peer=entry_id)
         self.stages.keeper_.forget(entry_id)
-        self.stages.keeper_lost(entry_id)
+        self.stages.sent.keeper_lost(entry_id)
         self.stages.commitments_.forget(entry_id)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
@@ -352,7 +352,7 @@
         for report in message.groups:
             group = GroupId(ServiceId(report.service_id), PlaceId(report.place))
             load = GroupLoad(report.wait_ms / 1_000.0, report.room_bytes, now)
-            self.stages.groups_.note_load(group, load)
+            self.stages.groups.loads_.note_load(group, load)
         counts = {
             CommitmentKey(ServiceId(report.service_id), report.is_urgent): report.pieces
             for report in message.commitments
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -122,8 +122,7 @@
             take_listing=self._apply_listing,
             take_entries=self._learn_entries,
         )
-        self.stages_.links = self.links_
-        self.stages_.reply_elsewhere = self.links_.reply
+        self.stages_.connect(self.links_)
         self.door_ = Door(
             wire=self.wire,
             serve=self._serve,
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_tasks.py
@@ -0,0 +1,78 @@
+"""Describe the pieces of a request to the schedulers that make them.
+
+A task says what a piece reads, by when it is due, and which halls its inputs lie in.
+How tasks are ordered and placed by it is decided in `leadford.forwarding.batching`.
+"""
+
+from leadford.common import EndpointId, EntryId, HallId
+from leadford.forwarding.batching import PieceKey, PieceTask
+from leadford_server.forwarding._jobs import StageJob
+from leadford_server.forwarding._results import ResultLedger
+from leadford_server.forwarding._state import ForwardState
+
+
+class TaskMaker:
+    """Make the tasks of requests that this entry holds."""
+
+    def __init__(
+        self, *, state: ForwardState, entry_id: EntryId, results: ResultLedger
+    ) -> None:
+        self.state = state
+        self.entry_id = entry_id
+        self.results = results
+
+    def make(
+        self,
+        job: StageJob,
+        key: PieceKey,
+        *,
+        ticket: int,
+        excluded: frozenset[EndpointId],
+        now: float,
+    ) -> PieceTask:
+        """Return the task for one piece of a request, which is sent now."""
+        stage = job.graph.stages[key.stage]
+        due_at = job.due_at - self._after_s(job, key.stage)
+        return PieceTask(
+            ticket=ticket,
+            home=self.entry_id,
+            request_id=job.request_id,
+            key=key,
+            private_key="" if stage.after else job.private_key,
+            inputs=job.graph.inputs(key.stage),
+            result_bytes=stage.result_bytes,
+            deadline=job.deadline,
+            due_at=due_at,
+            rank_at=due_at + job.delay_s,
+            queued_at=now,
+            excluded=excluded,
+            near_bytes_by_hall=self.near_bytes_by_hall(job, key.stage),
+        )
+
+    def near_bytes_by_hall(self, job: StageJob, number: int) -> dict[HallId, int]:
+        """Return what need not move between halls if a piece is made in one of them.
+
+        A piece reads every input; a result that the engine reads, or that reads
+        nothing itself, is best made where the engine will be.
+        """
+        near = self.results.bytes_by_hall(job.graph.inputs(number))
+        if number in job.graph.sinks_ or not near:
+            result_bytes = job.graph.stages[number].result_bytes
+            near[job.hall] = near.get(job.hall, 0) + result_bytes
+        return near
+
+    def _after_s(self, job: StageJob, number: int) -> float:
+        """Return how long the stages after one of them take on their longest way."""
+        total_s = 0.0
+        readers = [
+            later
+            for later, stage in enumerate(job.graph.stages)
+            if number in stage.after and job.graph.counts[later] > 0
+        ]
+        for later in readers:
+            service = self.state.service(job.graph.stages[later].service_id)
+            if service is None or service.pieces is None:
+                continue
+            call_s = service.pieces.full_call_s
+            total_s = max(total_s, call_s + self._after_s(job, later))
+        return total_s
--- a/packages/leadford/src/leadford/forwarding/batching/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/batching/__init__.py
@@ -1,6 +1,7 @@
 """Run the stages before a request: its graph of pieces, and batches over requests."""
 
 from leadford.forwarding.batching._commitments import CommitmentKey, CommitmentTable
+from leadford.forwarding.batching._filling import FillAction, NextCall, next_call
 from leadford.forwarding.batching._graph import PieceGraph, PieceKey, PieceState
 from leadford.forwarding.batching._groups import (
     GroupId,
@@ -17,14 +18,45 @@
     LaneTable,
     LaneUse,
 )
+from leadford.forwarding.batching._limits import (
+    CALL_INPUTS_READ_S,
+    ENGINE_INPUTS_READ_S,
+    call_limit_s,
+    engine_fetches_at_once,
+    scheduler_limit_at,
+    stages_check_at,
+    stages_end_in_time,
+)
 from leadford.forwarding.batching._queue import (
     Chunk,
     PieceQueue,
     PieceTask,
     queue_delay_s,
 )
+from leadford.forwarding.batching._remake import (
+    ENDPOINT_LOST,
+    NO_ENDPOINT_WAIT_S,
+    PieceFailure,
+    RemakeAction,
+    decide_remake,
+)
 
 __all__ = [
+    "CALL_INPUTS_READ_S",
+    "ENDPOINT_LOST",
+    "ENGINE_INPUTS_READ_S",
+    "FillAction",
+    "NO_ENDPOINT_WAIT_S",
+    "NextCall",
+    "PieceFailure",
+    "RemakeAction",
+    "call_limit_s",
+    "decide_remake",
+    "engine_fetches_at_once",
+    "next_call",
+    "scheduler_limit_at",
+    "stages_check_at",
+    "stages_end_in_time",
     "PAUSE_FULL_S",
     "PAUSE_ROOM_S",
     "Chunk",
--- /dev/null
+++ b/packages/leadford/src/leadford/forwarding/batching/_filling.py
@@ -0,0 +1,136 @@
+"""Decide which call of a batched stage leaves next, and what it carries.
+
+Called by the scheduler of a group whenever something may have changed: a piece came, a
+call ended, an endpoint was listed. It decides from the pieces that wait, the calls and
+results at each endpoint, and what is believed of the endpoints. In this order:
+
+1. A call that is not full waits a little for more pieces (`PieceQueue.ripe_at`).
+2. Endpoints are tried in the order in which they would finish the call
+   (`LaneTable.ranked`); one that is short of room waits a little for it
+   (`Lane.awaits_room`).
+3. The call takes the pieces that are due first, as far as they fit
+   (`PieceQueue.take`); pieces may stay away for the hall of their inputs
+   (`Chunk.stays_away`).
+4. Pieces that every endpoint excludes are given back.
+
+Sending the call, and making lost pieces again (`_remake`), are left to others.
+"""
+
+from enum import Enum
+from functools import partial
+
+import msgspec
+
+from leadford.common import HallId
+from leadford.forwarding.batching._lanes import LaneTable
+from leadford.forwarding.batching._queue import Chunk, PieceQueue, PieceTask
+from leadford.forwarding.endpoints import EndpointRecord
+from leadford.forwarding.routes import PieceLimits
+
+
+class FillAction(Enum):
+    """Say what the scheduler of a group does next."""
+
+    SEND = "send"
+    WAIT_FOR_MORE = "wait-for-more"
+    LOOK_AGAIN = "look-again"
+
+
+class NextCall(msgspec.Struct, frozen=True):
+    """Hold what the scheduler of a group does next.
+
+    With SEND, `tasks` go to the endpoint of `record`, where `room_bytes` were believed
+    to be free. With LOOK_AGAIN, no endpoint takes a call now, and `unserved` are pieces
+    that no endpoint of the group may make.
+
+    Units: wait_s in seconds, with WAIT_FOR_MORE.
+    """
+
+    action: FillAction
+    record: EndpointRecord | None = None
+    tasks: tuple[PieceTask, ...] = ()
+    room_bytes: int = 0
+    wait_s: float = 0.0
+    unserved: tuple[PieceTask, ...] = ()
+
+
+def next_call(
+    queue: PieceQueue,
+    lanes: LaneTable,
+    records: list[EndpointRecord],
+    limits: PieceLimits,
+    now: float,
+) -> NextCall:
+    """Return the next call of a group whose queue is not empty, and take its pieces.
+
+    `records` are the usable endpoints of the group, of which there is at least one.
+    """
+    wait_s = queue.ripe_at(limits) - now
+    if wait_s > 0.0:
+        return NextCall(FillAction.WAIT_FOR_MORE, wait_s=wait_s)
+    free_in_s_by_hall = _free_in_s_by_hall(lanes, records, limits, now)
+    for record in _candidates(queue, lanes, records, limits, now):
+        endpoint_id = record.listed.endpoint_id
+        hall = record.listed.hall
+        lane = lanes.lane(endpoint_id, limits)
+        if lane.awaits_room(queue.first_bytes(limits.batch), now):
+            continue
+        room_bytes = lanes.room_left(endpoint_id, limits, now)
+        tasks = queue.take(
+            batch=limits.batch,
+            room_bytes=room_bytes,
+            endpoint_id=endpoint_id,
+            hall=hall,
+            stays_away=partial(
+                Chunk.stays_away,
+                hall=hall,
+                free_in_s_by_hall=free_in_s_by_hall,
+                limits=limits,
+                now=now,
+            ),
+        )
+        if tasks:
+            return NextCall(FillAction.SEND, record, tuple(tasks), room_bytes)
+    unserved = queue.discard(lambda task: not _excludes_all(task, records))
+    return NextCall(FillAction.LOOK_AGAIN, unserved=tuple(unserved))
+
+
+def _candidates(
+    queue: PieceQueue,
+    lanes: LaneTable,
+    records: list[EndpointRecord],
+    limits: PieceLimits,
+    now: float,
+) -> list[EndpointRecord]:
+    """Return the free endpoints, the best first for the pieces that are due first."""
+    first = queue.first()
+    moving_s_by_hall = {
+        record.listed.hall: first.patience_s(record.listed.hall, limits, now)
+        for record in records
+    }
+    return lanes.ranked(
+        records,
+        limits,
+        waiting=len(queue),
+        now=now,
+        moving_s_by_hall=moving_s_by_hall,
+    )
+
+
+def _free_in_s_by_hall(
+    lanes: LaneTable, records: list[EndpointRecord], limits: PieceLimits, now: float
+) -> dict[HallId, float]:
+    """Return when the first endpoint of each hall is expected to be free."""
+    free_in_s: dict[HallId, float] = {}
+    for record in records:
+        if record.is_suspect(now):
+            continue
+        hall = record.listed.hall
+        lane = lanes.lane(record.listed.endpoint_id, limits)
+        lane_s = lane.free_in_s(now)
+        free_in_s[hall] = min(lane_s, free_in_s.get(hall, lane_s))
+    return free_in_s
+
+
+def _excludes_all(task: PieceTask, records: list[EndpointRecord]) -> bool:
+    return all(record.listed.endpoint_id in task.excluded for record in records)
--- /dev/null
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_limits.py
@@ -0,0 +1,78 @@
+"""Calls, schedulers and stages are waited for by their expected times."""
+
+import pytest
+
+from leadford.common import EndpointId, HallId
+from leadford.forwarding.batching import (
+    call_limit_s,
+    engine_fetches_at_once,
+    scheduler_limit_at,
+    stages_check_at,
+    stages_end_in_time,
+)
+from leadford.forwarding.endpoints import (
+    EndpointAddress,
+    EndpointRecord,
+    ListedEndpoint,
+    ListedState,
+    ReportedLoad,
+)
+from leadford.forwarding.routes import PieceLimits, ServiceId
+
+LIMITS = PieceLimits(
+    slots=1,
+    queue=2,
+    batch=4,
+    call_ms=200.0,
+    piece_ms=50.0,
+    room_bytes=100,
+    retention_s=4.0,
+)
+
+
+def engine(running, waiting, slots, in_flight=0):
+    record = EndpointRecord(
+        listed=ListedEndpoint(
+            endpoint_id=EndpointId("e"),
+            service_id=ServiceId("s"),
+            address=EndpointAddress("10.0.0.1:80"),
+            hall=HallId("h"),
+            state=ListedState.READY,
+            slots=slots,
+        )
+    )
+    record.in_flight_ = in_flight
+    record.note_load(ReportedLoad(running, waiting, slots), 0.0)
+    return record
+
+
+def test_a_call_is_waited_for_by_its_pieces_and_the_calls_before_it():
+    assert call_limit_s(LIMITS, 2, 0) == pytest.approx(0.3 * 2.5 + 0.4)
+    assert call_limit_s(LIMITS, 2, 2) == pytest.approx(0.9 * 2.5 + 0.4)
+
+
+def test_a_scheduler_is_waited_for_by_the_wait_and_a_full_call():
+    assert scheduler_limit_at(LIMITS, 0.6, 10.0) == pytest.approx(10.0 + 3.0 + 2.5)
+
+
+def test_stages_are_looked_at_early_enough_to_use_the_answer():
+    assert stages_check_at(10.0, 15.0) == pytest.approx(12.1)
+
+
+def test_stages_go_on_while_they_can_end_in_time():
+    assert stages_end_in_time(1.0, 1.0)
+    assert not stages_end_in_time(1.01, 1.0)
+
+
+def test_an_engine_with_a_free_slot_fetches_inputs_at_once():
+    assert engine_fetches_at_once(engine(1, 0, 2, in_flight=1), 0.0)
+    assert engine_fetches_at_once(engine(0, 0, 2, in_flight=2), 0.0)
+    assert not engine_fetches_at_once(engine(0, 0, 2, in_flight=3), 0.0)
+    assert not engine_fetches_at_once(engine(3, 0, 2, in_flight=0), 0.0)
+    assert not engine_fetches_at_once(engine(2, 1, 2), 0.0)
+
+
+def test_an_engine_without_a_report_is_not_relied_on():
+    record = engine(0, 0, 2)
+    record.load_ = None
+    assert not engine_fetches_at_once(record, 0.0)
