--- a/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
@@ -14,7 +14,7 @@
 from leadford.forwarding.endpoints import (
     EndpointFailure,
     EndpointRecord,
-    EngineTicket,
+    SentPrompt,
 )
 from leadford.forwarding.retries import (
     AttemptEnd,
@@ -85,7 +85,7 @@
         self.state = state
         self.inputs = inputs
         self.progress = progress
-        self.engine_ticket_: EngineTicket | None = None
+        self.sent_prompt_: SentPrompt | None = None
 
     def choose(self) -> EndpointRecord | None:
         """Return the endpoint that another attempt would ask."""
@@ -204,18 +204,16 @@
 
     def record_first_token(self, elapsed_s: float) -> None:
         """Record that an engine has read the prompt, and how long it took."""
-        if self.engine_ticket_ is not None:
-            self.state.engines_.note_first_token(
-                self.engine_ticket_, elapsed_s * 1_000.0
-            )
+        if self.sent_prompt_ is not None:
+            self.state.engines_.note_first_token(self.sent_prompt_, elapsed_s * 1_000.0)
             self.record_prompt_read()
 
     def record_prompt_read(self) -> None:
         """Record that the engine has read the prompt, or that the attempt is over."""
-        ticket = self.engine_ticket_
-        if ticket is not None:
-            self.state.engines_.note_started(ticket)
-            self.engine_ticket_ = None
+        sent = self.sent_prompt_
+        if sent is not None:
+            self.state.engines_.note_started(sent)
+            self.sent_prompt_ = None
 
     def _count_begin(self, record: EndpointRecord) -> float:
         """Count an attempt that begins now, and return the moment."""
@@ -225,7 +223,7 @@
         record.in_flight_ += 1
         engine = self.progress.admitted_.service.engine
         if engine is not None:
-            self.engine_ticket_ = self.state.engines_.note_sent(
+            self.sent_prompt_ = self.state.engines_.note_sent(
                 record, self.progress.request.prompt, engine.memory_tokens
             )
         return began_at
--- a/packages/leadford-server/src/leadford_server/forwarding/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_groups.py
@@ -1,6 +1,6 @@
-"""Choose the group of endpoints, and so the keeper, for the pieces of a stage.
+"""Choose the group of endpoints, and so the scheduler, for the pieces of a stage.
 
-Reads what keepers last said of their groups, and looks itself at those that are kept
+Reads what schedulers last said of their groups, and looks itself at those that are kept
 here. The scores stand in `leadford.forwarding.batching`.
 """
 
@@ -12,34 +12,34 @@
     GroupLoad,
     GroupTable,
     PieceGraph,
-    keepers_in_order,
+    schedulers_in_order,
 )
 from leadford.forwarding.routes import PieceLimits, ServiceId, StageSpec
-from leadford_server.forwarding._jobs import KeeperLinks
-from leadford_server.forwarding._keeper import PieceKeeper
+from leadford_server.forwarding._jobs import SchedulerLinks
+from leadford_server.forwarding._scheduler import BatchScheduler
 from leadford_server.forwarding._state import ForwardState
 
 
 class GroupChooser:
-    """Know the keeper and the load of each group, as far as this entry can."""
+    """Know the scheduler and the load of each group, as far as this entry can."""
 
     def __init__(
-        self, *, state: ForwardState, entry_id: EntryId, keeper: PieceKeeper
+        self, *, state: ForwardState, entry_id: EntryId, scheduler: BatchScheduler
     ) -> None:
         self.state = state
         self.entry_id = entry_id
-        self.keeper = keeper
+        self.scheduler = scheduler
         self.loads_ = GroupTable()
-        self.links: KeeperLinks | None = None
+        self.links: SchedulerLinks | None = None
 
-    def keeper_of(self, group: GroupId) -> EntryId:
+    def scheduler_of(self, group: GroupId) -> EntryId:
         """Return the live entry that keeps a group."""
         halls = {}
         if self.links is not None:
             halls = self.links.halls_by_live_entry()
         if not halls or self.state.stop_began_at_ is None:
             halls[self.entry_id] = self.state.hall
-        return keepers_in_order(group, halls, self.state.regions)[0]
+        return schedulers_in_order(group, halls, self.state.regions)[0]
 
     def choose(
         self,
@@ -139,11 +139,11 @@
         }
 
     def _look_at_own(self, groups: Iterable[GroupId], now: float) -> None:
-        """Look at the groups that are kept here rather than wait for a report."""
+        """Look at the groups that are scheduled here rather than wait for a report."""
         for group in groups:
-            if self.keeper_of(group) != self.entry_id:
+            if self.scheduler_of(group) != self.entry_id:
                 continue
             load = GroupLoad(
-                self.keeper.wait_s(group), self.keeper.room_bytes(group), now
+                self.scheduler.wait_s(group), self.scheduler.room_bytes(group), now
             )
             self.loads_.note_load(group, load)
--- a/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
@@ -8,7 +8,7 @@
 from leadford.common import EndpointId, EntryId, HallId, RequestId
 from leadford.forwarding.batching import GroupId, PieceGraph, PieceKey, PieceTask
 from leadford.forwarding.routes import ResultHandle
-from leadford_server.forwarding._keeper import KeptAnswer
+from leadford_server.forwarding._scheduler import PieceResult
 
 
 class StageFailure(Exception):
@@ -19,27 +19,27 @@
         self.detail = detail
 
 
-class KeeperLinks(Protocol):
-    """Reach the keepers at other entries."""
+class SchedulerLinks(Protocol):
+    """Reach the schedulers at other entries."""
 
     def halls_by_live_entry(self) -> dict[EntryId, HallId]:
         """Return the entries that are known to be alive, without this one."""
 
     def submit(self, entry_id: EntryId, group: GroupId, task: PieceTask) -> bool:
-        """Send a piece to a keeper; return whether a connection stands."""
+        """Send a piece to a scheduler; return whether a connection stands."""
 
-    def cancel(self, entry_id: EntryId, tickets: list[int]) -> None:
-        """Tell a keeper that pieces are wanted no more."""
+    def cancel(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
+        """Tell a scheduler that pieces are wanted no more."""
 
     def release(
         self, entry_id: EntryId, endpoint_id: EndpointId, handles: list[ResultHandle]
     ) -> bool:
-        """Tell a keeper that results have no reader any more."""
+        """Tell a scheduler that results have no reader any more."""
 
-    def reply(self, task: PieceTask, answer: KeptAnswer) -> None:
+    def reply(self, task: PieceTask, answer: PieceResult) -> None:
         """Send the answer for a piece to the entry that asked."""
 
-    def working(self, entry_id: EntryId, tickets: list[int]) -> None:
+    def send_inputs_read(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
         """Tell an entry that its pieces have fetched their inputs."""
 
 
@@ -71,7 +71,7 @@
         self.is_over_ = False
         self.tries_by_key_: dict[PieceKey, int] = {}
         self.excluded_by_key_: dict[PieceKey, frozenset[EndpointId]] = {}
-        self.tickets_: set[int] = set()
+        self.correlation_ids_: set[int] = set()
         self.committed_: set[PieceKey] = set()
 
     def fail(self, detail: str) -> None:
@@ -83,12 +83,12 @@
 
 
 class SentPiece(msgspec.Struct, eq=False):
-    """Hold a piece that a keeper has."""
+    """Hold a piece that a scheduler has."""
 
     task: PieceTask
     job: StageJob
     group: GroupId
-    keeper: EntryId
+    scheduler_id: EntryId
     overdue_at: float
 
 
@@ -97,5 +97,5 @@
 
     endpoint_id: EndpointId
     hall: HallId
-    keeper: EntryId
+    scheduler_id: EntryId
     result_bytes: int
--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -1,4 +1,4 @@
-"""Connect entries: heartbeats, pieces for keepers, and what a peer knows better."""
+"""Connect entries: heartbeats, pieces for schedulers, and what a peer knows better."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
     PieceKey,
     PieceTask,
     PlaceId,
-    keepers_in_order,
+    schedulers_in_order,
 )
 from leadford.forwarding.endpoints import ListedEndpoint
 from leadford.forwarding.routes import ForwardConfig, ResultHandle, ServiceId
@@ -41,7 +41,7 @@
     RefusalReport,
 )
 from leadford_server.forwarding._contract import KnownEntry
-from leadford_server.forwarding._keeper import KeptAnswer
+from leadford_server.forwarding._scheduler import PieceResult
 from leadford_server.forwarding._stages import StageRunner
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.peers import Dialer, Identity, PeerConnection, PeerServer
@@ -144,7 +144,7 @@
         halls[self.entry_id] = self.state.hall
         wanted: set[EntryId] = set()
         for group in self._groups():
-            order = keepers_in_order(group, halls, self.state.regions)
+            order = schedulers_in_order(group, halls, self.state.regions)
             wanted.update(order[:CANDIDATES])
         ring = sorted(halls)
         here = ring.index(self.entry_id)
@@ -190,11 +190,11 @@
             GroupReport(
                 group.service_id,
                 group.place,
-                round(self.stages.keeper_.wait_s(group) * 1_000.0, 1),
-                self.stages.keeper_.room_bytes(group),
+                round(self.stages.scheduler_.wait_s(group) * 1_000.0, 1),
+                self.stages.scheduler_.room_bytes(group),
             )
             for group in self._groups()
-            if self.stages.groups.keeper_of(group) == self.entry_id
+            if self.stages.groups.scheduler_of(group) == self.entry_id
         ]
         message = EntryHeartbeat(
             self.state.roster_.changed_revision_,
@@ -215,8 +215,10 @@
             ],
             [
                 LaneReport(use.endpoint_id, use.result_bytes, use.calls)
-                for use in self.stages.keeper_.lanes_left(
-                    lambda group: self.stages.groups.keeper_of(group) != self.entry_id
+                for use in self.stages.scheduler_.lanes_left(
+                    lambda group: (
+                        self.stages.groups.scheduler_of(group) != self.entry_id
+                    )
                 )
             ],
         )
@@ -243,14 +245,14 @@
         }
 
     def submit(self, entry_id: EntryId, group: GroupId, task: PieceTask) -> bool:
-        """Send a piece to a keeper; return whether a connection stands."""
+        """Send a piece to a scheduler; return whether a connection stands."""
         peer = self.peers_by_id_.get(entry_id)
         if peer is None:
             return False
         now = self.state.now()
         return peer.send(
             PieceSubmit(
-                task.ticket,
+                task.correlation_id,
                 group.service_id,
                 group.place,
                 task.request_id,
@@ -267,37 +269,40 @@
             )
         )
 
-    def cancel(self, entry_id: EntryId, tickets: list[int]) -> None:
-        """Tell a keeper that pieces are wanted no more."""
+    def cancel(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
+        """Tell a scheduler that pieces are wanted no more."""
         peer = self.peers_by_id_.get(entry_id)
         if peer is not None:
-            peer.send(PieceCancel(tickets))
+            peer.send(PieceCancel(correlation_ids))
 
     def release(
         self, entry_id: EntryId, endpoint_id: EndpointId, handles: list[ResultHandle]
     ) -> bool:
-        """Tell a keeper that results have no reader any more."""
+        """Tell a scheduler that results have no reader any more."""
         peer = self.peers_by_id_.get(entry_id)
         if peer is None:
             return False
         return peer.send(PieceRelease(endpoint_id, list(handles)))
 
-    def working(self, entry_id: EntryId, tickets: list[int]) -> None:
+    def send_inputs_read(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
         """Tell an entry that its pieces have fetched their inputs."""
         peer = self.peers_by_id_.get(entry_id)
         if peer is not None:
-            peer.send(PieceWorking(tickets))
+            peer.send(PieceWorking(correlation_ids))
 
-    def reply(self, task: PieceTask, answer: KeptAnswer) -> None:
+    def reply(self, task: PieceTask, answer: PieceResult) -> None:
         """Send the answer for a piece to the entry that asked."""
-        peer = self.peers_by_id_.get(task.home)
+        peer = self.peers_by_id_.get(task.origin)
         message = PieceAnswer(
-            task.ticket, answer.handle or "", answer.reason, answer.endpoint_id or ""
+            task.correlation_id,
+            answer.handle or "",
+            answer.reason,
+            answer.endpoint_id or "",
         )
         if peer is not None and peer.send(message):
             return
         if answer.handle is not None:
-            self.stages.keeper_.release(answer.endpoint_id, [answer.handle])
+            self.stages.scheduler_.release(answer.endpoint_id, [answer.handle])
 
     def peer_connected(self, peer: PeerConnection) -> None:
         """Take in that a connection stands."""
@@ -332,8 +337,8 @@
             return
         del self.peers_by_id_[entry_id]
         self.state.log.report(Event.PEER_LOST, peer=entry_id)
-        self.stages.keeper_.forget(entry_id)
-        self.stages.sent.keeper_lost(entry_id)
+        self.stages.scheduler_.forget(entry_id)
+        self.stages.sent.scheduler_lost(entry_id)
         self.stages.commitments_.forget(entry_id)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
@@ -377,7 +382,7 @@
             LaneUse(EndpointId(lane.endpoint_id), lane.result_bytes, lane.calls)
             for lane in message.lanes
         ]
-        self.stages.keeper_.lanes_.note_foreign(entry_id, uses, now)
+        self.stages.scheduler_.lanes_.note_foreign(entry_id, uses, now)
         self._compare(peer, message, now)
 
     def _compare(
@@ -399,8 +404,8 @@
     def _take_submit(self, peer: PeerConnection, message: PieceSubmit) -> None:
         now = self.state.now()
         task = PieceTask(
-            ticket=message.ticket,
-            home=EntryId(peer.info.peer_id),
+            correlation_id=message.correlation_id,
+            origin=EntryId(peer.info.peer_id),
             request_id=RequestId(message.request_id),
             key=PieceKey(message.stage, message.piece),
             private_key=message.private_key,
@@ -416,26 +421,28 @@
             },
         )
         group = GroupId(ServiceId(message.service_id), PlaceId(message.place))
-        self.stages.keeper_.submit(group, task)
+        self.stages.scheduler_.submit(group, task)
 
     def _take_answer(self, peer: PeerConnection, message: PieceAnswer) -> None:
-        answer = KeptAnswer(
+        answer = PieceResult(
             ResultHandle(message.handle) if message.handle else None,
             message.reason,
             EndpointId(message.endpoint_id) if message.endpoint_id else None,
         )
-        self.stages.take_answer(EntryId(peer.info.peer_id), message.ticket, answer)
+        self.stages.on_answer(
+            EntryId(peer.info.peer_id), message.correlation_id, answer
+        )
 
     def _take_working(self, peer: PeerConnection, message: PieceWorking) -> None:
-        self.stages.take_working(EntryId(peer.info.peer_id), message.tickets)
+        self.stages.on_working(EntryId(peer.info.peer_id), message.correlation_ids)
 
     def _take_cancel(self, peer: PeerConnection, message: PieceCancel) -> None:
-        home = EntryId(peer.info.peer_id)
-        self.stages.keeper_.cancel(home, set(message.tickets))
+        origin = EntryId(peer.info.peer_id)
+        self.stages.scheduler_.cancel(origin, set(message.correlation_ids))
 
     def _take_release(self, peer: PeerConnection, message: PieceRelease) -> None:
         handles = [ResultHandle(handle) for handle in message.handles]
-        self.stages.keeper_.release(EndpointId(message.endpoint_id), handles)
+        self.stages.scheduler_.release(EndpointId(message.endpoint_id), handles)
 
     def _give_config(self, peer: PeerConnection, message: ForwardConfigRequest) -> None:
         table = self.state.table_
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -257,7 +257,7 @@
             before=table.config.version if table else 0,
             routes=len(config.routes),
         )
-        self.stages_.keeper_.wake()
+        self.stages_.scheduler_.wake()
 
     def _confirm_config(self, revision: int) -> None:
         if self.state_.table_ is not None:
@@ -308,7 +308,7 @@
                 revision=self.state_.roster_.changed_revision_,
             )
         if changes:
-            self.stages_.keeper_.wake()
+            self.stages_.scheduler_.wake()
 
     def _take_entries(self, listing: Listing) -> None:
         self.has_listed_entries_ = True
--- a/packages/leadford-server/src/leadford_server/forwarding/_results.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_results.py
@@ -51,16 +51,19 @@
         for handle in handles:
             maker = self.maker_by_handle_.pop(handle, None)
             if maker is not None:
-                place = (maker.keeper, maker.endpoint_id)
+                place = (maker.scheduler_id, maker.endpoint_id)
                 by_place.setdefault(place, []).append(handle)
-        for (keeper, endpoint_id), group in by_place.items():
-            self.release_at(keeper, endpoint_id, group)
+        for (scheduler_id, endpoint_id), group in by_place.items():
+            self.release_at(scheduler_id, endpoint_id, group)
 
     def release_at(
-        self, keeper: EntryId, endpoint_id: EndpointId, handles: list[ResultHandle]
+        self,
+        scheduler_id: EntryId,
+        endpoint_id: EndpointId,
+        handles: list[ResultHandle],
     ) -> None:
         """Release results of one endpoint through the entry that accounts for them."""
-        is_elsewhere = keeper != self.entry_id
-        if is_elsewhere and self.release_elsewhere(keeper, endpoint_id, handles):
+        is_elsewhere = scheduler_id != self.entry_id
+        if is_elsewhere and self.release_elsewhere(scheduler_id, endpoint_id, handles):
             return
         self.release_here(endpoint_id, handles)
--- a/packages/leadford-server/src/leadford_server/forwarding/_keeper.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -41,7 +41,7 @@
 PIECE_DONE = "done"
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class PieceResult(msgspec.Struct, frozen=True):
     """Hold what became of a piece, and at which endpoint.
 
     `reason` is the text of a PieceFailure, perhaps with what is known of the cause,
@@ -58,17 +58,19 @@
         return PieceFailure.from_text(self.reason)
 
 
-Reply = Callable[[PieceTask, KeptAnswer], None]
-Working = Callable[[list[PieceTask]], None]
+Reply = Callable[[PieceTask, PieceResult], None]
+InputsRead = Callable[[list[PieceTask]], None]
 
 
-class PieceKeeper:
+class BatchScheduler:
     """Queue pieces by group, call endpoints, and account for the room of results."""
 
-    def __init__(self, *, state: ForwardState, reply: Reply, working: Working) -> None:
+    def __init__(
+        self, *, state: ForwardState, reply: Reply, on_inputs_read: InputsRead
+    ) -> None:
         self.state = state
         self.reply = reply
-        self.working = working
+        self.on_inputs_read = on_inputs_read
         self.lanes_ = LaneTable()
         self.calls = PieceCalls(state=state)
         self.freeing = ResultFreeing(
@@ -88,17 +90,21 @@
         self.pump_due_.add(group)
         self.state.loop.call_soon(self._pump, group)
 
-    def cancel(self, home: EntryId, tickets: set[int]) -> None:
+    def cancel(self, origin: EntryId, correlation_ids: set[int]) -> None:
         """Drop waiting pieces of an entry."""
         for queue in self.queues_by_group_.values():
             queue.discard(
-                lambda task: not (task.home == home and task.ticket in tickets)
+                lambda task: (
+                    not (
+                        task.origin == origin and task.correlation_id in correlation_ids
+                    )
+                )
             )
 
-    def forget(self, home: EntryId) -> None:
+    def forget(self, origin: EntryId) -> None:
         """Drop every waiting piece of an entry that is gone."""
         for queue in self.queues_by_group_.values():
-            queue.discard(lambda task: task.home != home)
+            queue.discard(lambda task: task.origin != origin)
 
     def release(self, endpoint_id: EndpointId, handles: list[ResultHandle]) -> None:
         """Free results: nobody reads them any more."""
@@ -133,7 +139,9 @@
         queue = self.queues_by_group_.get(group)
         return room - (queue.waiting_bytes() if queue is not None else 0)
 
-    def lanes_left(self, kept_by_others: Callable[[GroupId], bool]) -> list[LaneUse]:
+    def lanes_left(
+        self, scheduled_by_others: Callable[[GroupId], bool]
+    ) -> list[LaneUse]:
         """Return what this entry still has in groups that others keep now."""
         found = []
         for use in self.lanes_.uses(self.state.now()):
@@ -141,7 +149,7 @@
             if record is None:
                 continue
             listed = record.listed
-            if kept_by_others(self.state.group(listed.service_id, listed.hall)):
+            if scheduled_by_others(self.state.group(listed.service_id, listed.hall)):
                 found.append(use)
         return found
 
@@ -169,11 +177,11 @@
 
     def _drop_late(self, queue: PieceQueue, now: float) -> None:
         for task in queue.discard(lambda task: task.deadline > now):
-            self.reply(task, KeptAnswer(None, PieceFailure.LATE.value, None))
+            self.reply(task, PieceResult(None, PieceFailure.LATE.value, None))
 
     def _answer_no_endpoint(self, tasks: Iterable[PieceTask]) -> None:
         for task in tasks:
-            self.reply(task, KeptAnswer(None, PieceFailure.NO_ENDPOINT.value, None))
+            self.reply(task, PieceResult(None, PieceFailure.NO_ENDPOINT.value, None))
 
     def _send_next(
         self,
@@ -228,12 +236,12 @@
         readers = [task for task in call.tasks if task.inputs]
         if readers and not call.is_over:
             call.inputs_are_read = True
-            self.working(readers)
+            self.on_inputs_read(readers)
 
     def _queue_again(self, call: PieceCall, task: PieceTask, reason: str) -> None:
         """Queue a piece that was not made, unless its inputs were given up."""
         if call.inputs_are_read and task.inputs:
-            self.reply(task, KeptAnswer(None, reason, None))
+            self.reply(task, PieceResult(None, reason, None))
             return
         self.queues_by_group_[call.group].push(task)
 
@@ -270,7 +278,7 @@
                 self._queue_again(call, task, detail)
             return
         for task in call.tasks:
-            self.reply(task, KeptAnswer(None, detail, endpoint_id))
+            self.reply(task, PieceResult(None, detail, endpoint_id))
 
     def _settle(self, call: PieceCall, end: CallEnd) -> None:
         """Settle a call by what became of each of its pieces."""
@@ -291,4 +299,4 @@
                 continue
             if outcome.handle is not None:
                 lane.hold(outcome.handle, task.result_bytes, now)
-            self.reply(task, KeptAnswer(outcome.handle, outcome.reason, endpoint_id))
+            self.reply(task, PieceResult(outcome.handle, outcome.reason, endpoint_id))
--- a/packages/leadford-server/src/leadford_server/forwarding/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stages.py
@@ -23,13 +23,13 @@
 from leadford.forwarding.routes import PieceLimits, ResultHandle, StageSpec
 from leadford_server.forwarding._groups import GroupChooser
 from leadford_server.forwarding._jobs import (
-    KeeperLinks,
     ResultMaker,
+    SchedulerLinks,
     SentPiece,
     StageJob,
 )
-from leadford_server.forwarding._keeper import KeptAnswer, PieceKeeper
 from leadford_server.forwarding._results import ResultLedger
+from leadford_server.forwarding._scheduler import BatchScheduler, PieceResult
 from leadford_server.forwarding._sent import SentPieces
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding._tasks import TaskMaker
@@ -44,11 +44,15 @@
     def __init__(self, *, state: ForwardState, entry_id: EntryId) -> None:
         self.state = state
         self.entry_id = entry_id
-        self.keeper_ = PieceKeeper(state=state, reply=self._kept, working=self._working)
-        self.groups = GroupChooser(state=state, entry_id=entry_id, keeper=self.keeper_)
+        self.scheduler_ = BatchScheduler(
+            state=state, reply=self._on_result, on_inputs_read=self._on_inputs_read
+        )
+        self.groups = GroupChooser(
+            state=state, entry_id=entry_id, scheduler=self.scheduler_
+        )
         self.results = ResultLedger(
             entry_id=entry_id,
-            release_here=self.keeper_.release,
+            release_here=self.scheduler_.release,
             release_elsewhere=self._release_elsewhere,
         )
         self.commitments_ = CommitmentTable()
@@ -56,13 +60,13 @@
         self.sent = SentPieces(
             state=state,
             entry_id=entry_id,
-            keeper=self.keeper_,
+            scheduler=self.scheduler_,
             groups=self.groups,
             on_lost=self._not_made,
         )
-        self.links: KeeperLinks | None = None
+        self.links: SchedulerLinks | None = None
 
-    def connect(self, links: KeeperLinks) -> None:
+    def connect(self, links: SchedulerLinks) -> None:
         """Use links to other entries from now on."""
         self.links = links
         self.groups.links = links
@@ -165,11 +169,15 @@
                 NO_ENDPOINT_WAIT_S, self._send_later, job, stage, limits, keys
             )
             return
-        keeper = self.groups.keeper_of(group)
+        scheduler_id = self.groups.scheduler_of(group)
         for key in keys:
-            ticket = self.sent.new_ticket()
-            task = self.tasks.make(job, key, ticket=ticket, excluded=excluded, now=now)
-            self.sent.hand_over(SentPiece(task, job, group, keeper, 0.0), limits, now)
+            correlation_id = self.sent.new_correlation_id()
+            task = self.tasks.make(
+                job, key, correlation_id=correlation_id, excluded=excluded, now=now
+            )
+            self.sent.hand_over(
+                SentPiece(task, job, group, scheduler_id, 0.0), limits, now
+            )
 
     def _excluded(
         self, job: StageJob, stage: StageSpec, keys: list[PieceKey]
@@ -196,29 +204,29 @@
             return
         self._send(job, stage, limits, keys)
 
-    def _kept(self, task: PieceTask, answer: KeptAnswer) -> None:
-        """Take an answer of the keeper here, for this entry or for another."""
-        if task.home != self.entry_id:
+    def _on_result(self, task: PieceTask, answer: PieceResult) -> None:
+        """Take an answer of the scheduler here, for this entry or for another."""
+        if task.origin != self.entry_id:
             self.links.reply(task, answer)
             return
-        self.take_answer(self.entry_id, task.ticket, answer)
+        self.on_answer(self.entry_id, task.correlation_id, answer)
 
-    def _working(self, tasks: list[PieceTask]) -> None:
+    def _on_inputs_read(self, tasks: list[PieceTask]) -> None:
         """Tell the entries of pieces that these have fetched their inputs."""
-        tickets_by_home: dict[EntryId, list[int]] = {}
+        ids_by_origin: dict[EntryId, list[int]] = {}
         for task in tasks:
-            tickets_by_home.setdefault(task.home, []).append(task.ticket)
-        for home, tickets in tickets_by_home.items():
-            if home == self.entry_id:
-                self.take_working(self.entry_id, tickets)
+            ids_by_origin.setdefault(task.origin, []).append(task.correlation_id)
+        for origin, correlation_ids in ids_by_origin.items():
+            if origin == self.entry_id:
+                self.on_working(self.entry_id, correlation_ids)
             else:
-                self.links.working(home, tickets)
+                self.links.send_inputs_read(origin, correlation_ids)
 
-    def take_working(self, keeper: EntryId, tickets: list[int]) -> None:
+    def on_working(self, scheduler_id: EntryId, correlation_ids: list[int]) -> None:
         """Give results up that all readers have fetched."""
         jobs: dict[int, StageJob] = {}
-        for ticket in tickets:
-            sent = self.sent.awaited(keeper, ticket)
+        for correlation_id in correlation_ids:
+            sent = self.sent.awaited(scheduler_id, correlation_id)
             if sent is None or sent.job.is_over_:
                 continue
             sent.job.graph.note_working(sent.task.key)
@@ -226,13 +234,17 @@
         for job in jobs.values():
             self.results.release(job.graph.take_unread())
 
-    def take_answer(self, keeper: EntryId, ticket: int, answer: KeptAnswer) -> None:
+    def on_answer(
+        self, scheduler_id: EntryId, correlation_id: int, answer: PieceResult
+    ) -> None:
         """Take in what became of a piece."""
-        sent = self.sent.awaited(keeper, ticket)
+        sent = self.sent.awaited(scheduler_id, correlation_id)
         if sent is None:
             # Made for nobody: cancelled, overdue, or of an earlier process.
             if answer.handle is not None and answer.endpoint_id is not None:
-                self.results.release_at(keeper, answer.endpoint_id, [answer.handle])
+                self.results.release_at(
+                    scheduler_id, answer.endpoint_id, [answer.handle]
+                )
             return
         self.sent.settle(sent)
         job = sent.job
@@ -241,7 +253,9 @@
             return
         record = self.state.roster_.record(answer.endpoint_id)
         hall = record.listed.hall if record is not None else self.state.hall
-        maker = ResultMaker(answer.endpoint_id, hall, keeper, sent.task.result_bytes)
+        maker = ResultMaker(
+            answer.endpoint_id, hall, scheduler_id, sent.task.result_bytes
+        )
         self.results.record(answer.handle, maker)
         if job.is_over_:
             self.results.release([answer.handle])
@@ -250,7 +264,7 @@
         job.graph.note_done(sent.task.key, answer.handle)
         self._advance(job)
 
-    def _not_made(self, sent: SentPiece, answer: KeptAnswer) -> None:
+    def _not_made(self, sent: SentPiece, answer: PieceResult) -> None:
         """Follow the rule for a piece that was not made."""
         job = sent.job
         key = sent.task.key
@@ -276,22 +290,26 @@
             stage=key.stage,
             piece=key.piece,
             endpoint=answer.endpoint_id or "",
-            keeper=sent.keeper,
+            keeper=sent.scheduler_id,
             reason=answer.reason[:REASON_LOGGED],
         )
         job.graph.note_failed(key)
         if decision.action is RemakeAction.REMAKE_LATER:
-            # The keeper's listing differs from ours: give both a moment to agree.
+            # The scheduler's listing differs from ours: give both a moment to agree.
             now = self.state.now()
             self.groups.loads_.note_load(sent.group, GroupLoad(float("inf"), 0, now))
             self.state.loop.call_later(NO_ENDPOINT_WAIT_S, self._advance, job)
             return
         self._advance(job)
 
-    def _believe_lost(self, sent: SentPiece, answer: KeptAnswer) -> None:
-        """Believe a keeper elsewhere that an endpoint of its group did not answer."""
+    def _believe_lost(self, sent: SentPiece, answer: PieceResult) -> None:
+        """Believe another entry that an endpoint of its group did not answer."""
         is_lost = answer.failure in ENDPOINT_LOST
-        if sent.keeper == self.entry_id or answer.endpoint_id is None or not is_lost:
+        if (
+            sent.scheduler_id == self.entry_id
+            or answer.endpoint_id is None
+            or not is_lost
+        ):
             return
         record = self.state.roster_.record(answer.endpoint_id)
         now = self.state.now()
@@ -299,6 +317,9 @@
             record.note_failure(now, EndpointFailure.LOST)
 
     def _release_elsewhere(
-        self, keeper: EntryId, endpoint_id: EndpointId, handles: list[ResultHandle]
+        self,
+        scheduler_id: EntryId,
+        endpoint_id: EndpointId,
+        handles: list[ResultHandle],
     ) -> bool:
-        return self.links.release(keeper, endpoint_id, handles)
+        return self.links.release(scheduler_id, endpoint_id, handles)
--- a/packages/leadford-server/src/leadford_server/forwarding/_tasks.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_tasks.py
@@ -26,7 +26,7 @@
         job: StageJob,
         key: PieceKey,
         *,
-        ticket: int,
+        correlation_id: int,
         excluded: frozenset[EndpointId],
         now: float,
     ) -> PieceTask:
@@ -34,8 +34,8 @@
         stage = job.graph.stages[key.stage]
         due_at = job.due_at - self._after_s(job, key.stage)
         return PieceTask(
-            ticket=ticket,
-            home=self.entry_id,
+            correlation_id=correlation_id,
+            origin=self.entry_id,
             request_id=job.request_id,
             key=key,
             private_key="" if stage.after else job.private_key,
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
@@ -472,7 +472,7 @@
     run(scenario, entries=3)
 
 
-def test_pieces_of_a_lost_keeper_are_made_elsewhere():
+def test_pieces_of_a_lost_scheduler_are_made_elsewhere():
     async def scenario(deployment):
         first, second = deployment.entries_
         await deployment.until(
@@ -503,7 +503,7 @@
     async def scenario(deployment):
         first, second = deployment.entries_
         await deployment.until(lambda: first.links_.halls_by_live_entry())
-        # Only the second hall has a stage left, and its keeper does not know it.
+        # Only the second hall has a stage left, and its scheduler does not know it.
         near, far = deployment.stage
         deployment.store.delete("servers", near.endpoint_id)
         known = second.state_.roster_.record(far.endpoint_id)
@@ -511,10 +511,10 @@
             far.endpoint_id, known.listed.revision, first.state_.now() - 10.0
         )
         await asyncio.sleep(1.2)
-        before = first.stages_.next_ticket_
+        before = first.stages_.next_id_
         sent = asyncio.ensure_future(deployment.send("/once/x", request_id="r1"))
         await asyncio.sleep(0.5)
-        assert 0 < first.stages_.next_ticket_ - before < 20
+        assert 0 < first.stages_.next_id_ - before < 20
         deployment.store.put("servers", far.endpoint_id, far.spec())
         assert event_ids((await sent).body) == [1, 2, 3, 4, 5]
 
@@ -534,7 +534,7 @@
             exchange._caller_left()
         await deployment.until(lambda: any(e.left_early_ for e in deployment.engines))
         sent.cancel()
-        assert deployment.entries_[0].stages_.sent_by_ticket_ == {}
+        assert deployment.entries_[0].stages_.sent_by_id_ == {}
 
     run(scenario)
 
--- a/packages/leadford/src/leadford/forwarding/batching/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/batching/__init__.py
@@ -9,7 +9,7 @@
     GroupTable,
     PlaceId,
     RegionMap,
-    keepers_in_order,
+    schedulers_in_order,
 )
 from leadford.forwarding.batching._lanes import (
     PAUSE_FULL_S,
@@ -75,6 +75,6 @@
     "PieceTask",
     "PlaceId",
     "RegionMap",
-    "keepers_in_order",
+    "schedulers_in_order",
     "queue_delay_s",
 ]
--- a/packages/leadford/src/leadford/forwarding/batching/_graph.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_graph.py
@@ -51,8 +51,12 @@
             for stage, count in enumerate(self.counts)
             for piece in range(count)
         }
-        read = {before for stage in self._kept() for before in self.stages[stage].after}
-        self.sinks_ = [stage for stage in self._kept() if stage not in read]
+        read = {
+            before
+            for stage in self._used_stages()
+            for before in self.stages[stage].after
+        }
+        self.sinks_ = [stage for stage in self._used_stages() if stage not in read]
         self.chains_ = self._chains()
 
     @classmethod
@@ -69,7 +73,7 @@
                 return Failure(f"stage {number} reads a later stage")
         return Success(cls(stages=stages, counts=counts))
 
-    def _kept(self) -> list[int]:
+    def _used_stages(self) -> list[int]:
         return [stage for stage, count in enumerate(self.counts) if count > 0]
 
     @property
@@ -84,7 +88,7 @@
     def _chains(self) -> dict[int, int]:
         """Return how many stages follow each stage to the end, itself included."""
         chains: dict[int, int] = {}
-        for stage in reversed(self._kept()):
+        for stage in reversed(self._used_stages()):
             readers = [
                 chains[later] for later in chains if stage in self.stages[later].after
             ]
--- a/packages/leadford/src/leadford/forwarding/batching/_groups.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_groups.py
@@ -1,9 +1,9 @@
-"""Split the endpoints of a batched stage into groups, each with one keeper.
+"""Split the endpoints of a batched stage into groups, each with one scheduler.
 
 A group is the endpoints of one service in one region, or in one hall where a region
 has many. One entry keeps its queue, so that calls fill from the pieces of all entries
 and no endpoint rests while pieces wait for another one. Which entry follows from those
-that are alive; two keepers at once only make batches smaller.
+that are alive; two schedulers at once only make batches smaller.
 """
 
 from typing import NewType
@@ -78,7 +78,7 @@
 
 
 class GroupLoad(msgspec.Struct, frozen=True):
-    """Hold what a keeper last said of a group.
+    """Hold what a scheduler last said of a group.
 
     Units: wait_s is how long a new piece waits for its call; heard_at is in seconds
     of the monotonic clock.
@@ -89,7 +89,7 @@
     heard_at: float
 
 
-def keepers_in_order(
+def schedulers_in_order(
     group: GroupId, halls_by_entry: dict[EntryId, HallId], regions: RegionMap
 ) -> list[EntryId]:
     """Return the entries in the order in which they keep a group, near ones first."""
@@ -108,19 +108,19 @@
 
 
 class GroupTable:
-    """Choose the group for each piece by what keepers said and what was sent since."""
+    """Choose the group of each piece by what its schedulers said and was sent since."""
 
     def __init__(self) -> None:
         self.loads_by_group_: dict[GroupId, GroupLoad] = {}
         self.sent_by_group_: dict[GroupId, int] = {}
 
     def note_load(self, group: GroupId, load: GroupLoad) -> None:
-        """Take in what a keeper said; it counts what was sent before."""
+        """Take in what a scheduler said; it counts what was sent before."""
         self.loads_by_group_[group] = load
         self.sent_by_group_[group] = 0
 
     def note_sent(self, group: GroupId) -> None:
-        """Count a piece that the next report of the keeper will count."""
+        """Count a piece that the next report of the scheduler will count."""
         self.sent_by_group_[group] = self.sent_by_group_.get(group, 0) + 1
 
     def wait_s(
--- a/packages/leadford/src/leadford/forwarding/batching/_lanes.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_lanes.py
@@ -118,7 +118,7 @@
     def note_refused(self, believed_bytes: int, fitted_bytes: int, now: float) -> None:
         """Take in that room was refused: results that are not known here take it.
 
-        A keeper that was lost leaves such results; they end by themselves.
+        A scheduler that was lost leaves such results; they end by themselves.
         """
         unknown_bytes = believed_bytes - fitted_bytes
         if unknown_bytes <= 0:
--- a/packages/leadford/src/leadford/forwarding/batching/_queue.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_queue.py
@@ -39,7 +39,7 @@
     """Ask for one piece on behalf of the entry that holds its request.
 
     A piece has a key of its request's own or the results that it reads, never both.
-    The ticket tells the answers to one entry apart.
+    The correlation id tells the answers to one entry apart.
 
     Units: due_at, queued_at and deadline are seconds of the monotonic clock; due_at
     is when the whole request should have been answered, and rank_at orders pieces:
@@ -47,8 +47,8 @@
     need not move between halls if the piece is made in one.
     """
 
-    ticket: int
-    home: EntryId
+    correlation_id: int
+    origin: EntryId
     request_id: RequestId
     key: PieceKey
     private_key: str
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
@@ -17,8 +17,8 @@
     PieceTask,
     PlaceId,
     RegionMap,
-    keepers_in_order,
     queue_delay_s,
+    schedulers_in_order,
 )
 from leadford.forwarding.endpoints import (
     EndpointAddress,
@@ -61,8 +61,8 @@
     near=(),
 ):
     return PieceTask(
-        ticket=1,
-        home=EntryId("home"),
+        correlation_id=1,
+        origin=EntryId("origin"),
         request_id=RequestId(request),
         key=PieceKey(0, piece),
         private_key="k",
@@ -188,7 +188,7 @@
     assert lane.room_bytes(5.1) == 100
 
 
-def test_a_keeper_counts_what_its_predecessor_still_has():
+def test_a_scheduler_counts_what_its_predecessor_still_has():
     lanes = LaneTable()
     before = EntryId("n1")
     lanes.note_foreign(before, [LaneUse(ENDPOINT, 70, 1)], 0.0)
@@ -204,7 +204,7 @@
     assert lanes.foreign_by_entry_ == {}
 
 
-def test_a_keeper_tells_what_it_still_has():
+def test_a_scheduler_tells_what_it_still_has():
     lanes = LaneTable()
     lanes.lane(EndpointId("idle"), LIMITS)
     lane = lanes.lane(ENDPOINT, LIMITS)
@@ -256,14 +256,16 @@
     assert lanes.wait_s([], LIMITS, waiting=0, now=0.0) == float("inf")
 
 
-def test_keepers_are_near_and_the_same_for_everybody():
+def test_schedulers_are_near_and_the_same_for_everybody():
     halls = {EntryId(f"n{n}"): HallId("h" if n < 2 else "g") for n in range(5)}
     group = GroupId(SERVICE, PlaceId("h"))
-    order = keepers_in_order(group, halls, RegionMap())
+    order = schedulers_in_order(group, halls, RegionMap())
     assert set(order[:2]) == {"n0", "n1"}
-    assert order == keepers_in_order(group, dict(reversed(halls.items())), RegionMap())
+    assert order == schedulers_in_order(
+        group, dict(reversed(halls.items())), RegionMap()
+    )
     del halls[order[0]]
-    assert keepers_in_order(group, halls, RegionMap())[0] == order[1]
+    assert schedulers_in_order(group, halls, RegionMap())[0] == order[1]
 
 
 def test_the_group_with_the_least_wait_is_chosen_and_moved_bytes_count():
@@ -314,7 +316,7 @@
     regions = RegionMap({HallId("a"): PlaceId("r"), HallId("b"): PlaceId("r")})
     halls = {EntryId("n1"): HallId("a"), EntryId("n2"): HallId("c")}
     halls[EntryId("n3")] = HallId("b")
-    order = keepers_in_order(GroupId(SERVICE, PlaceId("r")), halls, regions)
+    order = schedulers_in_order(GroupId(SERVICE, PlaceId("r")), halls, regions)
     assert set(order[:2]) == {"n1", "n3"}
 
 
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
@@ -31,8 +31,8 @@
     retention_s=4.0,
 )
 TASK = PieceTask(
-    ticket=1,
-    home=EntryId("home"),
+    correlation_id=1,
+    origin=EntryId("origin"),
     request_id=RequestId("r"),
     key=PieceKey(0, 0),
     private_key="k",
--- a/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
@@ -3,9 +3,9 @@
 from leadford.forwarding.endpoints._choice import ChoicePolicy, EndpointChooser
 from leadford.forwarding.endpoints._engines import (
     EngineChooser,
-    EngineTicket,
     PromptPart,
     PromptShape,
+    SentPrompt,
 )
 from leadford.forwarding.endpoints._model import (
     EndpointAddress,
@@ -24,7 +24,7 @@
     "EndpointRecord",
     "EndpointRoster",
     "EngineChooser",
-    "EngineTicket",
+    "SentPrompt",
     "ListedEndpoint",
     "ListedState",
     "PromptPart",
--- a/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
@@ -32,8 +32,8 @@
 # Part of the engines that form the affinity set of a prompt, and how many they are at
 # least; commit b1fdb8f: the price of shared parts read again fell from 0.052 to 0.014
 # and from 0.030 to 0.011 on quiet-1 of the first sites. The values were not varied.
-HOME_PART = 1.0 / 3.0
-HOME_LEAST = 2
+AFFINITY_PART = 1.0 / 3.0
+AFFINITY_LEAST = 2
 # Milliseconds for each token of a shared part that would be read again, beyond the time
 # that it takes: it holds up the streams beside it, and takes memory from other parts.
 # Commit b1fdb8f, not varied alone.
@@ -123,7 +123,7 @@
         return total
 
 
-class EngineTicket(msgspec.Struct, frozen=True, eq=False):
+class SentPrompt(msgspec.Struct, frozen=True, eq=False):
     """Hold what was expected of a prompt that was sent to an engine.
 
     Units: read_tokens is what it is expected to read, expected_ms until its first
@@ -166,14 +166,14 @@
         candidates = trusted or candidates
         if not candidates:
             return None
-        home = self._home(candidates, shape)
+        affinity = self._affinity_set(candidates, shape)
         return min(
             candidates,
             key=lambda record: (
                 self.expected_ms(
                     record,
                     shape,
-                    home=home,
+                    affinity=affinity,
                     now=now,
                 )
                 + self._moving_ms(record, bytes_by_hall)
@@ -191,29 +191,29 @@
         moved = sum(bytes_by_hall.values()) - bytes_by_hall.get(hall, 0)
         return OTHER_HALL_MS * (moved > 0) + moved * MOVED_MS_PER_BYTE
 
-    def _home(
+    def _affinity_set(
         self, candidates: Sequence[EndpointRecord], shape: PromptShape
     ) -> list[EndpointId]:
         """Return the engines where the shared parts should be, the best first."""
         if not shape.shared:
             return []
         ids = [record.listed.endpoint_id for record in candidates]
-        count = max(HOME_LEAST, round(len(ids) * HOME_PART))
-        home = rendezvous_order(shape.shared[0].part_id, ids)[:count]
+        count = max(AFFINITY_LEAST, round(len(ids) * AFFINITY_PART))
+        affinity = rendezvous_order(shape.shared[0].part_id, ids)[:count]
         last = shape.shared[-1].part_id
-        return sorted(home, key=lambda name: -rendezvous_weight(last, name))
+        return sorted(affinity, key=lambda name: -rendezvous_weight(last, name))
 
     def expected_ms(
         self,
         record: EndpointRecord,
         shape: PromptShape,
         *,
-        home: Sequence[EndpointId],
+        affinity: Sequence[EndpointId],
         now: float,
     ) -> float:
         """Return the time to the first token, with what speaks against an engine."""
         endpoint_id = record.listed.endpoint_id
-        kept = self._kept_tokens(record, shape, home)
+        kept = self._kept_tokens(record, shape, affinity)
         tokens = shape.tokens_in - kept
         tokens += self.pending_by_id_.get(record.listed.endpoint_id, 0.0)
         if record.load_ is not None:
@@ -224,28 +224,28 @@
         running = record.in_flight_ + record.waiting_elsewhere(now)
         expected += running * RUNNING_MS
         expected += record.failure_rate_.value_ * FAILURE_MS
-        if home and endpoint_id != home[0]:
+        if affinity and endpoint_id != affinity[0]:
             expected += PREFERRED_BONUS_MS
         read_again = max(0.0, shape.shared_tokens - kept)
         return expected + read_again * READ_AGAIN_MS_PER_TOKEN
 
     def _kept_tokens(
-        self, record: EndpointRecord, shape: PromptShape, home: Sequence[EndpointId]
+        self, record: EndpointRecord, shape: PromptShape, affinity: Sequence[EndpointId]
     ) -> float:
         """Return how much of a prompt an engine is expected to keep."""
         endpoint_id = record.listed.endpoint_id
         kept = self.kept_by_id_.get(endpoint_id)
         known = float(kept.kept_tokens(shape)) if kept is not None else 0.0
-        if endpoint_id not in home:
+        if endpoint_id not in affinity:
             return known
-        if endpoint_id == home[0]:
+        if endpoint_id == affinity[0]:
             return max(known, GUESS_KEPT * shape.shared_tokens)
         return max(known, GUESS_KEPT * shape.shared[0].tokens)
 
     def note_sent(
         self, record: EndpointRecord, shape: PromptShape, memory_tokens: int
-    ) -> EngineTicket:
-        """Count a prompt that goes to an engine; hand the ticket back at its end."""
+    ) -> SentPrompt:
+        """Count a prompt that goes to an engine; hand the result back at its end."""
         endpoint_id = record.listed.endpoint_id
         kept = self.kept_by_id_.setdefault(endpoint_id, _KeptParts())
         tokens = float(max(0, shape.tokens_in - kept.kept_tokens(shape)))
@@ -254,21 +254,21 @@
             kept.touch(part, memory_tokens * MEMORY_PART)
         self.pending_by_id_[endpoint_id] = pending + tokens
         expected = (tokens + pending) / self.tokens_per_ms_.value_
-        return EngineTicket(endpoint_id, tokens, expected)
+        return SentPrompt(endpoint_id, tokens, expected)
 
-    def note_started(self, ticket: EngineTicket) -> None:
+    def note_started(self, sent: SentPrompt) -> None:
         """Count that the prompt has been read, or that its attempt is over."""
-        left = self.pending_by_id_.get(ticket.endpoint_id, 0.0) - ticket.read_tokens
+        left = self.pending_by_id_.get(sent.endpoint_id, 0.0) - sent.read_tokens
         if left > 0.0:
-            self.pending_by_id_[ticket.endpoint_id] = left
+            self.pending_by_id_[sent.endpoint_id] = left
         else:
-            self.pending_by_id_.pop(ticket.endpoint_id, None)
+            self.pending_by_id_.pop(sent.endpoint_id, None)
 
-    def note_first_token(self, ticket: EngineTicket, elapsed_ms: float) -> None:
+    def note_first_token(self, sent: SentPrompt, elapsed_ms: float) -> None:
         """Learn how fast prompts are read."""
-        if ticket.read_tokens >= TOKENS_LEARNED_MIN and elapsed_ms > 0.0:
+        if sent.read_tokens >= TOKENS_LEARNED_MIN and elapsed_ms > 0.0:
             self.tokens_per_ms_.update(
-                min(100.0, max(2.0, ticket.read_tokens / elapsed_ms))
+                min(100.0, max(2.0, sent.read_tokens / elapsed_ms))
             )
 
     def retain(self, known: set[EndpointId]) -> None:
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
@@ -118,9 +118,9 @@
     engines = [record(f"e{number}") for number in range(9)]
     chooser = EngineChooser(hall=HALL)
     prompt = chain("t", "session", "own")
-    home = chooser.choose(engines, prompt, now=0.0)
-    home.in_flight_ = 2_000
-    assert chooser.choose(engines, prompt, now=0.0) is not home
+    affinity = chooser.choose(engines, prompt, now=0.0)
+    affinity.in_flight_ = 2_000
+    assert chooser.choose(engines, prompt, now=0.0) is not affinity
 
 
 def test_a_long_prompt_that_waits_sends_the_next_elsewhere():
@@ -128,10 +128,10 @@
     chooser = EngineChooser(hall=HALL)
     prompt = shape("one", 20_000)
     chosen = chooser.choose(engines, prompt, now=0.0)
-    ticket = chooser.note_sent(chosen, prompt, 100_000)
+    sent = chooser.note_sent(chosen, prompt, 100_000)
     other = shape("one", 3_000)
     assert chooser.choose(engines, other, now=0.0) is not chosen
-    chooser.note_started(ticket)
+    chooser.note_started(sent)
     assert chooser.pending_by_id_ == {}
     # The parts are kept there now, so the session goes back.
     assert chooser.choose(engines, prompt, now=0.0) is chosen
--- a/packages/leadford/src/leadford/protocol/_messages.py
+++ b/packages/leadford/src/leadford/protocol/_messages.py
@@ -211,7 +211,7 @@
 
 
 class Note(_Base, tag=16):
-    """Record at a keeper where an attempt of a request runs."""
+    """Record at a scheduler where an attempt of a request runs."""
 
     request_id: str
     workspace: str
@@ -226,13 +226,13 @@
 
 
 class NoteRequest(_Base, tag=17):
-    """Ask a keeper for the note of a request."""
+    """Ask a scheduler for the note of a request."""
 
     request_id: str
 
 
 class NoteAnswer(_Base, tag=18):
-    """Answer with the latest note of a request, if the keeper has one."""
+    """Answer with the latest note of a request, if the scheduler has one."""
 
     request_id: str
     note: Note | None = None
@@ -318,14 +318,14 @@
 
 
 class PieceSubmit(_Base, tag=29):
-    """Ask the keeper of a group for one piece; the ticket comes back in the answer.
+    """Ask the scheduler of a group for one piece; its id comes back in the answer.
 
     Units: remaining_ms is what is left of the request's time, due_ms what is left
     until it should have been answered, and rank_ms orders pieces; near_bytes is
     what need not move between halls if the piece is made in one.
     """
 
-    ticket: int
+    correlation_id: int
     service_id: str
     place: str
     request_id: str
@@ -344,7 +344,7 @@
 class PieceAnswer(_Base, tag=30):
     """Give the result of a piece, or why there is none, and the endpoint asked."""
 
-    ticket: int
+    correlation_id: int
     handle: str
     reason: str
     endpoint_id: str
@@ -353,17 +353,17 @@
 class PieceWorking(_Base, tag=38):
     """Tell an entry that its pieces are being made and have fetched their inputs."""
 
-    tickets: list[int]
+    correlation_ids: list[int]
 
 
 class PieceCancel(_Base, tag=31):
-    """Tell a keeper that pieces are wanted no more."""
+    """Tell a scheduler that pieces are wanted no more."""
 
-    tickets: list[int]
+    correlation_ids: list[int]
 
 
 class PieceRelease(_Base, tag=32):
-    """Tell a keeper that results of an endpoint have no reader any more."""
+    """Tell a scheduler that results of an endpoint have no reader any more."""
 
     endpoint_id: str
     handles: list[str]
