--- a/packages/leadford-server/src/leadford_server/forwarding/_free.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_free.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Coroutine
 
 from leadford.common import EndpointId
-from leadford.forwarding.batching import GroupId, LaneTable
+from leadford.forwarding.batching import CapacityTable, GroupId
 from leadford.forwarding.endpoints import EndpointRecord
 from leadford.forwarding.routes import ResultHandle, Service
 from leadford_server.forwarding._connection import ExchangeBroken
@@ -32,12 +32,12 @@
         self,
         *,
         state: ForwardState,
-        lanes: LaneTable,
+        capacities: CapacityTable,
         spawn: Callable[[Coroutine[None, None, None]], None],
         on_free: Callable[[GroupId], None],
     ) -> None:
         self.state = state
-        self.lanes = lanes
+        self.capacities = capacities
         self.spawn = spawn
         self.on_free = on_free
         self.unread_by_id_: dict[EndpointId, list[ResultHandle]] = {}
@@ -74,8 +74,8 @@
         except (ExchangeBroken, TimeoutError):
             return
         # Only now is the room free; another call must not come before.
-        lane = self.lanes.lanes_by_id_.get(endpoint_id)
-        if lane is not None:
+        capacity = self.capacities.capacity_by_id_.get(endpoint_id)
+        if capacity is not None:
             for handle in handles:
-                lane.free(handle)
+                capacity.free(handle)
         self.on_free(state.group(service.service_id, record.listed.hall))
--- a/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
@@ -72,7 +72,7 @@
         self.tries_by_key_: dict[PieceKey, int] = {}
         self.excluded_by_key_: dict[PieceKey, frozenset[EndpointId]] = {}
         self.correlation_ids_: set[int] = set()
-        self.committed_: set[PieceKey] = set()
+        self.in_backlog_: set[PieceKey] = set()
 
     def fail(self, detail: str) -> None:
         """End the job without its results."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -8,12 +8,12 @@
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
 from leadford.events import Event
-from leadford.forwarding.admission import Promise
+from leadford.forwarding.admission import RetryReservation
 from leadford.forwarding.batching import (
-    CommitmentKey,
+    BacklogKey,
+    CapacityUse,
     GroupId,
     GroupLoad,
-    LaneUse,
     PieceKey,
     PieceTask,
     PlaceId,
@@ -202,20 +202,20 @@
             self.is_draining_,
             [
                 CommitmentReport(key.service_id, key.is_urgent, pieces)
-                for key, pieces in self.stages.commitments_.own_by_key_.items()
+                for key, pieces in self.stages.backlog_.own_by_key_.items()
             ],
             [
                 RefusalReport(
-                    promise.fingerprint,
-                    (promise.return_at - now) * 1_000.0,
-                    promise.is_urgent,
-                    dict(promise.pieces_by_service),
+                    reservation.fingerprint,
+                    (reservation.return_at - now) * 1_000.0,
+                    reservation.is_urgent,
+                    dict(reservation.pieces_by_service),
                 )
-                for promise in self.state.refused_.take_unsent()
+                for reservation in self.state.reservations_.take_unsent()
             ],
             [
                 LaneReport(use.endpoint_id, use.result_bytes, use.calls)
-                for use in self.stages.scheduler_.lanes_left(
+                for use in self.stages.scheduler_.uses_left(
                     lambda group: (
                         self.stages.groups.scheduler_of(group) != self.entry_id
                     )
@@ -339,7 +339,7 @@
         self.state.log.report(Event.PEER_LOST, peer=entry_id)
         self.stages.scheduler_.forget(entry_id)
         self.stages.sent.scheduler_lost(entry_id)
-        self.stages.commitments_.forget(entry_id)
+        self.stages.backlog_.forget(entry_id)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
         """Take in which configuration runs at a peer."""
@@ -366,23 +366,25 @@
             load = GroupLoad(report.wait_ms / 1_000.0, report.room_bytes, now)
             self.stages.groups.loads_.note_load(group, load)
         counts = {
-            CommitmentKey(ServiceId(report.service_id), report.is_urgent): report.pieces
+            BacklogKey(ServiceId(report.service_id), report.is_urgent): report.pieces
             for report in message.commitments
         }
-        self.stages.commitments_.note_heard(entry_id, counts, now)
+        self.stages.backlog_.note_heard(entry_id, counts, now)
         for report in message.refused:
-            promise = Promise(
+            reservation = RetryReservation(
                 report.fingerprint,
                 now + report.return_ms / 1_000.0,
                 report.is_urgent,
                 {ServiceId(name): count for name, count in report.pieces.items()},
             )
-            self.state.refused_.note(promise, is_own=False)
+            self.state.reservations_.note(reservation, is_own=False)
         uses = [
-            LaneUse(EndpointId(lane.endpoint_id), lane.result_bytes, lane.calls)
-            for lane in message.lanes
+            CapacityUse(
+                EndpointId(report.endpoint_id), report.result_bytes, report.calls
+            )
+            for report in message.lanes
         ]
-        self.stages.scheduler_.lanes_.note_foreign(entry_id, uses, now)
+        self.stages.scheduler_.capacities_.note_foreign(entry_id, uses, now)
         self._compare(peer, message, now)
 
     def _compare(
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -114,8 +114,8 @@
         )
         self.stages_ = StageRunner(state=self.state_, entry_id=settings.entry_id)
         self.admission_ = ForwardAdmission(
-            commitments=self.stages_.commitments_,
-            memory=self.state_.refused_,
+            backlog=self.stages_.backlog_,
+            reservations=self.state_.reservations_,
             random=self.random,
         )
         self.links_ = EntryLinks(
--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -15,10 +15,10 @@
     CALL_INPUTS_READ_S,
     PAUSE_FULL_S,
     PAUSE_ROOM_S,
+    CapacityTable,
+    CapacityUse,
     FillAction,
     GroupId,
-    LaneTable,
-    LaneUse,
     PieceFailure,
     PieceQueue,
     PieceTask,
@@ -71,24 +71,27 @@
         self.state = state
         self.reply = reply
         self.on_inputs_read = on_inputs_read
-        self.lanes_ = LaneTable()
+        self.capacities_ = CapacityTable()
         self.calls = PieceCalls(state=state)
         self.freeing = ResultFreeing(
-            state=state, lanes=self.lanes_, spawn=self._spawn, on_free=self._wake_group
+            state=state,
+            capacities=self.capacities_,
+            spawn=self._spawn,
+            on_free=self._wake_group,
         )
         self.queues_by_group_: dict[GroupId, PieceQueue] = {}
         self.tasks_: set[asyncio.Task[None]] = set()
-        self.pump_due_: set[GroupId] = set()
+        self.dispatch_due_: set[GroupId] = set()
         self.look_due_: set[GroupId] = set()
 
     def submit(self, group: GroupId, task: PieceTask) -> None:
         """Queue a piece."""
         self.queues_by_group_.setdefault(group, PieceQueue()).push(task)
-        if group in self.pump_due_:
+        if group in self.dispatch_due_:
             return
         # Calls are filled after everything of this moment has been queued.
-        self.pump_due_.add(group)
-        self.state.loop.call_soon(self._pump, group)
+        self.dispatch_due_.add(group)
+        self.state.loop.call_soon(self._dispatch, group)
 
     def cancel(self, origin: EntryId, correlation_ids: set[int]) -> None:
         """Drop waiting pieces of an entry."""
@@ -112,16 +115,16 @@
 
     def wake(self) -> None:
         """Look again whether calls can leave, after the listing has changed."""
-        self.lanes_.retain(self.state.roster_.known_ids())
+        self.capacities_.retain(self.state.roster_.known_ids())
         for group in list(self.queues_by_group_):
-            self._pump(group)
+            self._dispatch(group)
 
     def wait_s(self, group: GroupId) -> float:
         """Return how long a piece that joins a group now waits for its call."""
         service = self.state.service(group.service_id)
         if service is None or service.pieces is None:
             return float("inf")
-        return self.lanes_.wait_s(
+        return self.capacities_.wait_s(
             self._records(group),
             service.pieces,
             waiting=len(self.queues_by_group_.get(group, ())),
@@ -133,18 +136,18 @@
         service = self.state.service(group.service_id)
         if service is None or service.pieces is None:
             return 0
-        room = self.lanes_.room_bytes(
+        room = self.capacities_.room_bytes(
             self._records(group), service.pieces, self.state.now()
         )
         queue = self.queues_by_group_.get(group)
         return room - (queue.waiting_bytes() if queue is not None else 0)
 
-    def lanes_left(
+    def uses_left(
         self, scheduled_by_others: Callable[[GroupId], bool]
-    ) -> list[LaneUse]:
+    ) -> list[CapacityUse]:
         """Return what this entry still has in groups that others keep now."""
         found = []
-        for use in self.lanes_.uses(self.state.now()):
+        for use in self.capacities_.uses(self.state.now()):
             record = self.state.roster_.record(use.endpoint_id)
             if record is None:
                 continue
@@ -160,9 +163,9 @@
             if self.state.group(group.service_id, record.listed.hall) == group
         ]
 
-    def _pump(self, group: GroupId) -> None:
+    def _dispatch(self, group: GroupId) -> None:
         """Send the calls of a group that can leave now."""
-        self.pump_due_.discard(group)
+        self.dispatch_due_.discard(group)
         queue = self.queues_by_group_[group]
         while len(queue) > 0:
             now = self.state.now()
@@ -192,7 +195,7 @@
     ) -> bool:
         """Do what the rule says next; return whether to ask it again at once."""
         queue = self.queues_by_group_[group]
-        step = next_call(queue, self.lanes_, records, service.pieces, now)
+        step = next_call(queue, self.capacities_, records, service.pieces, now)
         if step.action is FillAction.SEND:
             tasks = list(step.tasks)
             self._begin(
@@ -201,7 +204,7 @@
             return True
         if step.action is FillAction.WAIT_FOR_MORE:
             wait_s = step.wait_s + WINDOW_MARGIN_S
-            self.state.loop.call_later(wait_s, self._pump, group)
+            self.state.loop.call_later(wait_s, self._dispatch, group)
             return False
         self._answer_no_endpoint(step.unserved)
         self._look_again(group)
@@ -209,7 +212,7 @@
 
     def _wake_group(self, group: GroupId) -> None:
         if group in self.queues_by_group_:
-            self._pump(group)
+            self._dispatch(group)
 
     def _look_again(self, group: GroupId) -> None:
         """Look again later: a pause or a retention ends without any other event."""
@@ -220,12 +223,14 @@
 
     def _look(self, group: GroupId) -> None:
         self.look_due_.discard(group)
-        self._pump(group)
+        self._dispatch(group)
 
     def _begin(self, call: PieceCall) -> None:
-        lane = self.lanes_.lane(call.record.listed.endpoint_id, call.limits)
-        is_idle = lane.calls_ == 0 and call.record.is_surely_idle(call.began_at)
-        lane.begin(len(call.tasks), call.result_bytes, call.began_at)
+        capacity = self.capacities_.capacity(
+            call.record.listed.endpoint_id, call.limits
+        )
+        is_idle = capacity.calls_ == 0 and call.record.is_surely_idle(call.began_at)
+        capacity.begin(len(call.tasks), call.result_bytes, call.began_at)
         call.record.in_flight_ += 1
         self._spawn(self._run_call(call))
         if is_idle:
@@ -256,8 +261,10 @@
             end = await self.calls.run(call)
         finally:
             call.is_over = True
-            lane = self.lanes_.lane(call.record.listed.endpoint_id, call.limits)
-            lane.end(call.result_bytes)
+            capacity = self.capacities_.capacity(
+                call.record.listed.endpoint_id, call.limits
+            )
+            capacity.end(call.result_bytes)
             call.record.in_flight_ -= 1
         PIECE_CALLS_TOTAL.labels(end=end.detail.split(":")[0]).inc()
         waiting = len(self.queues_by_group_[call.group])
@@ -266,14 +273,14 @@
             self._settle_failed(call, end.detail)
         else:
             self._settle(call, end)
-        self._pump(call.group)
+        self._dispatch(call.group)
 
     def _settle_failed(self, call: PieceCall, detail: str) -> None:
         """Settle a call that failed as a whole."""
         endpoint_id = call.record.listed.endpoint_id
         if detail == PieceFailure.FULL.value:
-            lane = self.lanes_.lane(endpoint_id, call.limits)
-            lane.pause(PAUSE_FULL_S, self.state.now())
+            capacity = self.capacities_.capacity(endpoint_id, call.limits)
+            capacity.pause(PAUSE_FULL_S, self.state.now())
             for task in call.tasks:
                 self._queue_again(call, task, detail)
             return
@@ -283,20 +290,20 @@
     def _settle(self, call: PieceCall, end: CallEnd) -> None:
         """Settle a call by what became of each of its pieces."""
         endpoint_id = call.record.listed.endpoint_id
-        lane = self.lanes_.lane(endpoint_id, call.limits)
+        capacity = self.capacities_.capacity(endpoint_id, call.limits)
         now = self.state.now()
         no_room = PieceFailure.ROOM.value
         pairs = list(zip(call.tasks, end.outcomes, strict=True))
         if any(outcome.reason == no_room for outcome in end.outcomes):
             fitted = sum(task.result_bytes for task, item in pairs if item.handle)
-            lane.note_refused(call.room_bytes, fitted, now)
+            capacity.note_refused(call.room_bytes, fitted, now)
         for task, outcome in pairs:
             PIECES_TOTAL.labels(end=outcome.reason or PIECE_DONE).inc()
             if outcome.reason == no_room:
                 # Results that this process does not know take room there.
-                lane.pause(PAUSE_ROOM_S, now)
+                capacity.pause(PAUSE_ROOM_S, now)
                 self._queue_again(call, task, no_room)
                 continue
             if outcome.handle is not None:
-                lane.hold(outcome.handle, task.result_bytes, now)
+                capacity.hold(outcome.handle, task.result_bytes, now)
             self.reply(task, PieceResult(outcome.handle, outcome.reason, endpoint_id))
--- a/packages/leadford-server/src/leadford_server/forwarding/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stages.py
@@ -10,8 +10,8 @@
 from leadford.forwarding.batching import (
     ENDPOINT_LOST,
     NO_ENDPOINT_WAIT_S,
-    CommitmentKey,
-    CommitmentTable,
+    AdmittedBacklog,
+    BacklogKey,
     GroupLoad,
     PieceFailure,
     PieceKey,
@@ -55,7 +55,7 @@
             release_here=self.scheduler_.release,
             release_elsewhere=self._release_elsewhere,
         )
-        self.commitments_ = CommitmentTable()
+        self.backlog_ = AdmittedBacklog()
         self.tasks = TaskMaker(state=state, entry_id=entry_id, results=self.results)
         self.sent = SentPieces(
             state=state,
@@ -75,8 +75,8 @@
     def open(self, job: StageJob) -> None:
         """Count the pieces of a job that begins."""
         for key in job.graph.pieces_by_key_:
-            job.committed_.add(key)
-            self.commitments_.add(self._commitment(job, key), 1)
+            job.in_backlog_.add(key)
+            self.backlog_.add(self._backlog_key(job, key), 1)
 
     async def complete(self, job: StageJob) -> None:
         """Make what is missing; raises StageFailure."""
@@ -92,8 +92,8 @@
         if job.is_over_:
             return
         job.is_over_ = True
-        for key in list(job.committed_):
-            self._discharge(job, key)
+        for key in list(job.in_backlog_):
+            self._leave_backlog(job, key)
         self.sent.cancel(job)
         self.release(job)
 
@@ -109,15 +109,15 @@
         """Return where the results lie that the request itself reads."""
         return self.results.bytes_by_hall(job.graph.final_inputs())
 
-    def _commitment(self, job: StageJob, key: PieceKey) -> CommitmentKey:
-        return CommitmentKey(job.graph.stages[key.stage].service_id, job.is_urgent)
+    def _backlog_key(self, job: StageJob, key: PieceKey) -> BacklogKey:
+        return BacklogKey(job.graph.stages[key.stage].service_id, job.is_urgent)
 
-    def _discharge(self, job: StageJob, key: PieceKey) -> None:
+    def _leave_backlog(self, job: StageJob, key: PieceKey) -> None:
         """Count a piece as made, or as wanted no more."""
-        if key not in job.committed_:
+        if key not in job.in_backlog_:
             return
-        job.committed_.discard(key)
-        self.commitments_.add(self._commitment(job, key), -1)
+        job.in_backlog_.discard(key)
+        self.backlog_.add(self._backlog_key(job, key), -1)
 
     def _advance(self, job: StageJob) -> None:
         """Send the pieces that are due."""
@@ -260,7 +260,7 @@
         if job.is_over_:
             self.results.release([answer.handle])
             return
-        self._discharge(job, sent.task.key)
+        self._leave_backlog(job, sent.task.key)
         job.graph.note_done(sent.task.key, answer.handle)
         self._advance(job)
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from leadford.common import Ewma, HallId
-from leadford.forwarding.admission import RefusedMemory
+from leadford.forwarding.admission import RetryReservations
 from leadford.forwarding.batching import GroupId, PlaceId, RegionMap
 from leadford.forwarding.endpoints import (
     EndpointChooser,
@@ -71,7 +71,7 @@
         self.budgets_by_service_: dict[ServiceId, WindowedRetryBudget] = {}
         self.groups_by_service_: dict[ServiceId, tuple[int, dict[HallId, GroupId]]] = {}
         self.sharers_ = 1
-        self.refused_ = RefusedMemory()
+        self.reservations_ = RetryReservations()
         self.engine_s_by_service_: dict[ServiceId, Ewma] = {}
         self.config_seen_at_: float | None = None
         self.stop_began_at_: float | None = None
--- a/packages/leadford/src/leadford/forwarding/admission/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/admission/__init__.py
@@ -7,14 +7,17 @@
     Verdict,
 )
 from leadford.forwarding.admission._forecast import StageCapacity
-from leadford.forwarding.admission._refused import Promise, RefusedMemory
+from leadford.forwarding.admission._reservations import (
+    RetryReservation,
+    RetryReservations,
+)
 
 __all__ = [
     "AdmissionDecision",
     "AdmissionRequest",
     "ForwardAdmission",
-    "Promise",
-    "RefusedMemory",
+    "RetryReservation",
+    "RetryReservations",
     "StageCapacity",
     "Verdict",
 ]
--- a/packages/leadford/src/leadford/forwarding/admission/_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_decision.py
@@ -25,13 +25,16 @@
 
 from leadford.common import Ewma
 from leadford.forwarding.admission._forecast import StageCapacity, StageForecast
-from leadford.forwarding.admission._refused import Promise, RefusedMemory
-from leadford.forwarding.batching import CommitmentTable
+from leadford.forwarding.admission._reservations import (
+    RetryReservation,
+    RetryReservations,
+)
+from leadford.forwarding.batching import AdmittedBacklog
 from leadford.forwarding.routes import Route, RouteId, ServiceId
 
 # Part of its aim, less the path, that a backlog may take of a newcomer; for the most
 # urgent workspace, less a step for each priority, and the least for any. Commit
-# 8ba3391, 0.5 before, together with RETURN_AIMS and PROMISED_PART: worth of scale-1 of
+# 8ba3391, 0.5 before, together with RETURN_AIMS and RESERVED_PART: worth of scale-1 of
 # tpj-damier 0.387 to 0.421, the other six days within noise. The step (commit c72ebe1)
 # was not varied alone.
 SPARE_PART_URGENT = 0.9
@@ -46,7 +49,7 @@
 DEADLINE_PART = 0.85
 # Part of the work yet to return that counts before a newcomer; commit 8ba3391, 0.7
 # before, figures as for SPARE_PART.
-PROMISED_PART = 0.4
+RESERVED_PART = 0.4
 # Part of the time that path and engine leave of the aim, which the backlog may still
 # fill when a refused request comes back; commit 33a2606, not measured.
 RETURN_PART = 0.55
@@ -116,45 +119,49 @@
     """Decide over requests with stages by the stage that is the furthest behind."""
 
     def __init__(
-        self, *, commitments: CommitmentTable, memory: RefusedMemory, random: Random
+        self,
+        *,
+        backlog: AdmittedBacklog,
+        reservations: RetryReservations,
+        random: Random,
     ) -> None:
-        self.commitments = commitments
-        self.memory = memory
+        self.backlog = backlog
+        self.reservations = reservations
         self.random = random
         self.bias_by_route_: dict[RouteId, Ewma] = {}
 
     def decide(self, request: AdmissionRequest) -> AdmissionDecision:
         """Return the verdict, and remember who is told to come back."""
-        is_return = self.memory.is_return(request.fingerprint, request.now)
+        is_return = self.reservations.is_return(request.fingerprint, request.now)
         if is_return:
-            self.memory.note_returned(request.fingerprint, request.now)
+            self.reservations.note_returned(request.fingerprint, request.now)
         forecast = StageForecast(
             route=request.route,
             counts=request.counts,
             capacity_by_service=request.capacity_by_service,
         )
         path_s = forecast.path_s()
-        backlog = forecast.backlog(self.commitments, self.memory, request.now)
+        delay = forecast.delay(self.backlog, self.reservations, request.now)
         bias_s = self._bias(request.route).value_
         expected_s = (
-            request.elapsed_s + path_s + backlog.now_s + request.engine_s + bias_s
+            request.elapsed_s + path_s + delay.now_s + request.engine_s + bias_s
         )
         if is_return:
             limit_s = _return_limit_s(request)
         else:
-            expected_s += backlog.returning_s * PROMISED_PART
+            expected_s += delay.returning_s * RESERVED_PART
             limit_s = _newcomer_limit_s(request, path_s)
         if expected_s <= limit_s:
             return AdmissionDecision(Verdict.ADMIT, expected_s, is_return=is_return)
-        behind_s = backlog.now_s + backlog.returning_s
+        behind_s = delay.now_s + delay.returning_s
         wait_s = self._retry_after_s(request, path_s, behind_s)
-        promise = Promise(
+        reservation = RetryReservation(
             request.fingerprint,
             request.now + wait_s,
             request.route.is_urgent,
             forecast.pieces_by_service(),
         )
-        self.memory.note(promise, is_own=True)
+        self.reservations.note(reservation, is_own=True)
         return AdmissionDecision(Verdict.REFUSE, expected_s, wait_s, is_return)
 
     def note_answered(self, route: Route, expected_s: float, actual_s: float) -> None:
--- a/packages/leadford/src/leadford/forwarding/admission/_forecast.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_forecast.py
@@ -1,16 +1,16 @@
 """Forecast how long the stages of a request take, with and without what is before it.
 
 Asked by admission. It decides nothing: times of calls come from the configuration, the
-pieces before a request from the commitments of all entries and from refused requests
-that are yet to return.
+pieces before a request from the admitted backlog of all entries and from refused
+requests that are yet to return.
 """
 
 from collections.abc import Mapping
 
 import msgspec
 
-from leadford.forwarding.admission._refused import RefusedMemory
-from leadford.forwarding.batching import CommitmentTable
+from leadford.forwarding.admission._reservations import RetryReservations
+from leadford.forwarding.batching import AdmittedBacklog
 from leadford.forwarding.routes import PieceLimits, Route, ServiceId
 
 # Part of the work of less urgent routes that counts before an urgent request: those
@@ -48,7 +48,7 @@
         return self.limits.full_call_s
 
 
-class Backlog(msgspec.Struct, frozen=True):
+class StageDelay(msgspec.Struct, frozen=True):
     """Hold how long the stage that is the furthest behind needs for what is before it.
 
     Units: seconds. now_s is for pieces that are admitted, returning_s for those of
@@ -92,9 +92,9 @@
             done_s.append(start_s + rounds * call_s)
         return max(done_s, default=0.0)
 
-    def backlog(
-        self, commitments: CommitmentTable, memory: RefusedMemory, now: float
-    ) -> Backlog:
+    def delay(
+        self, backlog: AdmittedBacklog, reservations: RetryReservations, now: float
+    ) -> StageDelay:
         """Return the backlog of the stage that is the furthest behind."""
         is_urgent = self.route.is_urgent
         now_s = 0.0
@@ -104,17 +104,17 @@
                 continue
             capacity = self.capacity_by_service.get(stage.service_id)
             if capacity is None:
-                return Backlog(float("inf"), 0.0)
+                return StageDelay(float("inf"), 0.0)
             held_s = capacity.call_s + self._read_s(number)
-            pieces = commitments.pieces_before(
+            pieces = backlog.pieces_before(
                 stage.service_id, is_urgent, later_part=LATER_PART, now=now
             )
             stage_s = capacity.backlog_s(pieces, stage.result_bytes, held_s)
             now_s = max(now_s, stage_s)
-            returning = memory.pieces_promised(stage.service_id, is_urgent, now)
+            returning = reservations.pieces_reserved(stage.service_id, is_urgent, now)
             stage_s = capacity.backlog_s(returning, stage.result_bytes, held_s)
             returning_s = max(returning_s, stage_s)
-        return Backlog(now_s, returning_s)
+        return StageDelay(now_s, returning_s)
 
     def pieces_by_service(self) -> dict[ServiceId, int]:
         """Return how many pieces the request wants of each service."""
--- a/packages/leadford/src/leadford/forwarding/admission/_refused.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_reservations.py
@@ -12,16 +12,16 @@
 from leadford.forwarding.routes import ServiceId
 
 # Refused requests that are remembered; commit 33a2606, not measured.
-REFUSED_KEPT = 400
+RESERVATIONS_KEPT = 400
 # Seconds after the time to come back for which a request that comes counts as returned;
 # commit 33a2606, not measured.
-REFUSED_FRESH_S = 12.0
+RETURN_FRESH_S = 12.0
 # Seconds after the time to come back for which a request is still expected; commit
 # 33a2606, not measured.
 RETURN_GRACE_S = 0.6
 
 
-class Promise(msgspec.Struct, frozen=True):
+class RetryReservation(msgspec.Struct, frozen=True):
     """Hold a refused request that was told when to come back.
 
     Units: return_at in seconds of the monotonic clock.
@@ -33,7 +33,7 @@
     pieces_by_service: dict[ServiceId, int]
 
 
-class RefusedMemory:
+class RetryReservations:
     """Remember who was told to come back when, here and at other entries.
 
     A request that returns is let in if it can still be served at all, and the work
@@ -41,19 +41,19 @@
     """
 
     def __init__(self) -> None:
-        self.promises_by_print_: OrderedDict[str, Promise] = OrderedDict()
-        self.unsent_: list[Promise] = []
+        self.by_fingerprint_: OrderedDict[str, RetryReservation] = OrderedDict()
+        self.unsent_: list[RetryReservation] = []
 
-    def note(self, promise: Promise, *, is_own: bool) -> None:
+    def note(self, reservation: RetryReservation, *, is_own: bool) -> None:
         """Take in a refusal."""
-        self.promises_by_print_[promise.fingerprint] = promise
-        self.promises_by_print_.move_to_end(promise.fingerprint)
-        while len(self.promises_by_print_) > REFUSED_KEPT:
-            self.promises_by_print_.popitem(last=False)
+        self.by_fingerprint_[reservation.fingerprint] = reservation
+        self.by_fingerprint_.move_to_end(reservation.fingerprint)
+        while len(self.by_fingerprint_) > RESERVATIONS_KEPT:
+            self.by_fingerprint_.popitem(last=False)
         if is_own:
-            self.unsent_.append(promise)
+            self.unsent_.append(reservation)
 
-    def take_unsent(self) -> list[Promise]:
+    def take_unsent(self) -> list[RetryReservation]:
         """Return the refusals that other entries have not been told of."""
         unsent = self.unsent_
         self.unsent_ = []
@@ -61,25 +61,25 @@
 
     def is_return(self, fingerprint: str, now: float) -> bool:
         """Tell whether a request was refused a short while ago."""
-        promise = self.promises_by_print_.get(fingerprint)
-        return promise is not None and now - promise.return_at < REFUSED_FRESH_S
+        reservation = self.by_fingerprint_.get(fingerprint)
+        return reservation is not None and now - reservation.return_at < RETURN_FRESH_S
 
-    def pieces_promised(
+    def pieces_reserved(
         self, service_id: ServiceId, is_urgent: bool, now: float
     ) -> int:
         """Return how many pieces will come back that go before those of a request."""
         return sum(
-            promise.pieces_by_service.get(service_id, 0)
-            for promise in self.promises_by_print_.values()
-            if now - promise.return_at < RETURN_GRACE_S
-            and promise.is_urgent >= is_urgent
+            reservation.pieces_by_service.get(service_id, 0)
+            for reservation in self.by_fingerprint_.values()
+            if now - reservation.return_at < RETURN_GRACE_S
+            and reservation.is_urgent >= is_urgent
         )
 
     def note_returned(self, fingerprint: str, now: float) -> None:
         """Take in that a request has come back; it is remembered as one that did."""
-        promise = self.promises_by_print_.get(fingerprint)
-        if promise is not None:
+        reservation = self.by_fingerprint_.get(fingerprint)
+        if reservation is not None:
             done = msgspec.structs.replace(
-                promise, return_at=min(promise.return_at, now - RETURN_GRACE_S)
+                reservation, return_at=min(reservation.return_at, now - RETURN_GRACE_S)
             )
-            self.promises_by_print_[fingerprint] = done
+            self.by_fingerprint_[fingerprint] = done
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
@@ -8,12 +8,12 @@
 from leadford.forwarding.admission import (
     AdmissionRequest,
     ForwardAdmission,
-    Promise,
-    RefusedMemory,
+    RetryReservation,
+    RetryReservations,
     StageCapacity,
     Verdict,
 )
-from leadford.forwarding.batching import CommitmentKey, CommitmentTable
+from leadford.forwarding.batching import AdmittedBacklog, BacklogKey
 from leadford.forwarding.routes import (
     PieceLimits,
     Route,
@@ -49,10 +49,10 @@
 
 class Fixture:
     def __init__(self):
-        self.commitments = CommitmentTable()
-        self.memory = RefusedMemory()
+        self.backlog = AdmittedBacklog()
+        self.reservations = RetryReservations()
         self.admission = ForwardAdmission(
-            commitments=self.commitments, memory=self.memory, random=Random(1)
+            backlog=self.backlog, reservations=self.reservations, random=Random(1)
         )
 
     def decide(
@@ -79,8 +79,8 @@
             )
         )
 
-    def commit(self, pieces, is_urgent=True):
-        self.commitments.add(CommitmentKey(SERVICE, is_urgent), pieces)
+    def admit_pieces(self, pieces, is_urgent=True):
+        self.backlog.add(BacklogKey(SERVICE, is_urgent), pieces)
 
 
 def test_an_idle_fleet_lets_in():
@@ -92,7 +92,7 @@
 def test_a_long_path_is_not_refused_for_its_own_length():
     fixture = Fixture()
     # The path alone takes most of the aim; a small backlog still fits in the rest.
-    fixture.commit(10)
+    fixture.admit_pieces(10)
     decision = fixture.decide(elapsed_s=1.0)
     assert 0.7 * 2.0 < decision.expected_s < 2.0
     assert decision.verdict is Verdict.ADMIT
@@ -102,7 +102,7 @@
     verdicts = []
     for priority in (0, 5):
         fixture = Fixture()
-        fixture.commit(45)
+        fixture.admit_pieces(45)
         verdicts.append(fixture.decide(priority=priority).verdict)
     assert verdicts == [Verdict.ADMIT, Verdict.REFUSE]
 
@@ -111,7 +111,7 @@
     verdicts = []
     for priority in (0, 1, 2):
         fixture = Fixture()
-        fixture.commit(100, is_urgent=False)
+        fixture.admit_pieces(100, is_urgent=False)
         route = msgspec.structs.replace(ROUTE, priority=priority)
         verdicts.append(fixture.decide(route=route).verdict)
     assert verdicts == [Verdict.ADMIT, Verdict.REFUSE, Verdict.REFUSE]
@@ -119,17 +119,17 @@
 
 def test_a_backlog_refuses_with_a_time_that_grows_with_it():
     fixture = Fixture()
-    fixture.commit(100)
+    fixture.admit_pieces(100)
     first = fixture.decide(fingerprint="a")
     assert first.verdict is Verdict.REFUSE
     assert 0.25 <= first.retry_after_s <= 8.0 / 3.0
-    fixture.commit(40)
+    fixture.admit_pieces(40)
     assert fixture.decide(fingerprint="b").expected_s > first.expected_s
 
 
 def test_who_was_told_to_come_back_is_let_in():
     fixture = Fixture()
-    fixture.commit(52)
+    fixture.admit_pieces(52)
     assert fixture.decide().verdict is Verdict.REFUSE
     assert fixture.decide(now=2.0).verdict is Verdict.ADMIT
     assert fixture.decide(fingerprint="other", now=2.0).verdict is Verdict.REFUSE
@@ -137,21 +137,21 @@
 
 def test_hopeless_requests_are_refused_even_when_they_return():
     fixture = Fixture()
-    fixture.commit(1_000)
+    fixture.admit_pieces(1_000)
     assert fixture.decide().verdict is Verdict.REFUSE
     assert fixture.decide(now=2.0).verdict is Verdict.REFUSE
     assert Fixture().decide(endpoints=0).verdict is Verdict.REFUSE
 
 
-def test_promised_returns_stand_before_newcomers():
+def test_reserved_returns_stand_before_newcomers():
     fixture = Fixture()
-    promise = Promise("p", 1.0, True, {SERVICE: 200})
-    fixture.memory.note(promise, is_own=False)
+    reservation = RetryReservation("p", 1.0, True, {SERVICE: 200})
+    fixture.reservations.note(reservation, is_own=False)
     assert fixture.decide().verdict is Verdict.REFUSE
     # Once they should have come, they are counted no more.
     assert fixture.decide(fingerprint="g", now=4.0).verdict is Verdict.ADMIT
-    assert [item.fingerprint for item in fixture.memory.take_unsent()] == ["f"]
-    assert fixture.memory.take_unsent() == []
+    assert [item.fingerprint for item in fixture.reservations.take_unsent()] == ["f"]
+    assert fixture.reservations.take_unsent() == []
 
 
 def test_room_binds_as_well_as_time():
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_forecast.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_forecast.py
@@ -3,9 +3,13 @@
 import msgspec
 import pytest
 
-from leadford.forwarding.admission import Promise, RefusedMemory, StageCapacity
+from leadford.forwarding.admission import (
+    RetryReservation,
+    RetryReservations,
+    StageCapacity,
+)
 from leadford.forwarding.admission._forecast import StageForecast
-from leadford.forwarding.batching import CommitmentKey, CommitmentTable
+from leadford.forwarding.batching import AdmittedBacklog, BacklogKey
 from leadford.forwarding.routes import (
     PieceLimits,
     Route,
@@ -58,22 +62,22 @@
     assert forecast((21, 0, 0)).path_s() == pytest.approx(0.6)
 
 
-def test_the_backlog_is_that_of_the_stage_that_is_the_furthest_behind():
-    commitments, memory = CommitmentTable(), RefusedMemory()
-    commitments.add(CommitmentKey(FAST, True), 20)
-    commitments.add(CommitmentKey(SLOW, True), 20)
-    memory.note(Promise("other", 0.0, True, {FAST: 40}), is_own=False)
-    backlog = forecast((1, 1, 1)).backlog(commitments, memory, 0.0)
-    assert backlog.now_s == pytest.approx(20 * 0.06)
-    assert backlog.returning_s == pytest.approx(40 * 0.03 / 2)
+def test_the_delay_is_that_of_the_stage_that_is_the_furthest_behind():
+    backlog, reservations = AdmittedBacklog(), RetryReservations()
+    backlog.add(BacklogKey(FAST, True), 20)
+    backlog.add(BacklogKey(SLOW, True), 20)
+    reservations.note(RetryReservation("other", 0.0, True, {FAST: 40}), is_own=False)
+    delay = forecast((1, 1, 1)).delay(backlog, reservations, 0.0)
+    assert delay.now_s == pytest.approx(20 * 0.06)
+    assert delay.returning_s == pytest.approx(40 * 0.03 / 2)
     # A stage that the request leaves out does not hold it up.
-    backlog = forecast((1, 0, 1)).backlog(commitments, memory, 0.0)
-    assert backlog.now_s == pytest.approx(20 * 0.03 / 2)
+    delay = forecast((1, 0, 1)).delay(backlog, reservations, 0.0)
+    assert delay.now_s == pytest.approx(20 * 0.03 / 2)
 
 
 def test_a_stage_without_a_known_service_is_behind_for_ever():
-    backlog = forecast((1, 1, 1), {}).backlog(CommitmentTable(), RefusedMemory(), 0.0)
-    assert backlog.now_s == float("inf")
+    delay = forecast((1, 1, 1), {}).delay(AdmittedBacklog(), RetryReservations(), 0.0)
+    assert delay.now_s == float("inf")
 
 
 def test_pieces_of_all_stages_of_a_service_are_counted_together():
--- a/packages/leadford/src/leadford/forwarding/batching/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/batching/__init__.py
@@ -1,6 +1,13 @@
 """Run the stages before a request: its graph of pieces, and batches over requests."""
 
-from leadford.forwarding.batching._commitments import CommitmentKey, CommitmentTable
+from leadford.forwarding.batching._backlog import AdmittedBacklog, BacklogKey
+from leadford.forwarding.batching._capacity import (
+    PAUSE_FULL_S,
+    PAUSE_ROOM_S,
+    CapacityTable,
+    CapacityUse,
+    EndpointCapacity,
+)
 from leadford.forwarding.batching._filling import FillAction, NextCall, next_call
 from leadford.forwarding.batching._graph import PieceGraph, PieceKey, PieceState
 from leadford.forwarding.batching._groups import (
@@ -11,13 +18,6 @@
     RegionMap,
     schedulers_in_order,
 )
-from leadford.forwarding.batching._lanes import (
-    PAUSE_FULL_S,
-    PAUSE_ROOM_S,
-    Lane,
-    LaneTable,
-    LaneUse,
-)
 from leadford.forwarding.batching._limits import (
     CALL_INPUTS_READ_S,
     ENGINE_INPUTS_READ_S,
@@ -45,29 +45,21 @@
     "CALL_INPUTS_READ_S",
     "ENDPOINT_LOST",
     "ENGINE_INPUTS_READ_S",
-    "FillAction",
     "NO_ENDPOINT_WAIT_S",
-    "NextCall",
-    "PieceFailure",
-    "RemakeAction",
-    "call_limit_s",
-    "decide_remake",
-    "engine_fetches_at_once",
-    "next_call",
-    "scheduler_limit_at",
-    "stages_check_at",
-    "stages_end_in_time",
     "PAUSE_FULL_S",
     "PAUSE_ROOM_S",
+    "AdmittedBacklog",
+    "BacklogKey",
+    "CapacityTable",
+    "CapacityUse",
     "Chunk",
-    "CommitmentKey",
-    "CommitmentTable",
+    "EndpointCapacity",
+    "FillAction",
     "GroupId",
     "GroupLoad",
     "GroupTable",
-    "Lane",
-    "LaneTable",
-    "LaneUse",
+    "NextCall",
+    "PieceFailure",
     "PieceGraph",
     "PieceKey",
     "PieceQueue",
@@ -75,6 +67,14 @@
     "PieceTask",
     "PlaceId",
     "RegionMap",
-    "schedulers_in_order",
+    "RemakeAction",
+    "call_limit_s",
+    "decide_remake",
+    "engine_fetches_at_once",
+    "next_call",
     "queue_delay_s",
+    "scheduler_limit_at",
+    "schedulers_in_order",
+    "stages_check_at",
+    "stages_end_in_time",
 ]
--- a/packages/leadford/src/leadford/forwarding/batching/_commitments.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_backlog.py
@@ -11,7 +11,7 @@
 FRESH_S = 1.5
 
 
-class CommitmentKey(msgspec.Struct, frozen=True):
+class BacklogKey(msgspec.Struct, frozen=True):
     """Name pieces of one service whose routes are urgent, or are not."""
 
     service_id: ServiceId
@@ -21,18 +21,18 @@
 class _Heard(msgspec.Struct, frozen=True):
     """Hold what another entry said, and when."""
 
-    counts_by_key: dict[CommitmentKey, int]
+    counts_by_key: dict[BacklogKey, int]
     heard_at: float
 
 
-class CommitmentTable:
-    """Add up the commitments of all entries; what was said long ago expires."""
+class AdmittedBacklog:
+    """Add up the admitted backlog of all entries; what was said long ago expires."""
 
     def __init__(self) -> None:
-        self.own_by_key_: dict[CommitmentKey, int] = {}
+        self.own_by_key_: dict[BacklogKey, int] = {}
         self.heard_by_entry_: dict[EntryId, _Heard] = {}
 
-    def add(self, key: CommitmentKey, pieces: int) -> None:
+    def add(self, key: BacklogKey, pieces: int) -> None:
         """Count pieces that this entry admitted, or with a minus that are made."""
         left = self.own_by_key_.get(key, 0) + pieces
         if left > 0:
@@ -43,7 +43,7 @@
     def note_heard(
         self,
         entry_id: EntryId,
-        counts_by_key: dict[CommitmentKey, int],
+        counts_by_key: dict[BacklogKey, int],
         now: float,
     ) -> None:
         """Take in what another entry has admitted."""
@@ -69,7 +69,7 @@
                 total += pieces if key.is_urgent >= is_urgent else pieces * later_part
         return total
 
-    def _all(self, now: float) -> Iterable[dict[CommitmentKey, int]]:
+    def _all(self, now: float) -> Iterable[dict[BacklogKey, int]]:
         yield self.own_by_key_
         for heard in self.heard_by_entry_.values():
             if now - heard.heard_at < FRESH_S:
--- a/packages/leadford/src/leadford/forwarding/batching/_lanes.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_capacity.py
@@ -15,7 +15,7 @@
 # 0.821.
 PAUSE_ROOM_S = 0.03
 # Part of a call's fixed time that it waits for room; commit 33a2606, not measured.
-ROOM_PATIENCE = 0.6
+ROOM_WAIT_PART = 0.6
 # Seconds that refused room is believed to be taken; commit 69eee62, together with
 # inputs released early: pieces without room on scale-2 of tpj-damier fell from 714 to
 # 266. The value was not varied.
@@ -34,7 +34,7 @@
     expires_at: float
 
 
-class LaneUse(msgspec.Struct, frozen=True):
+class CapacityUse(msgspec.Struct, frozen=True):
     """Say what an entry that does not keep a group any more still has there."""
 
     endpoint_id: EndpointId
@@ -43,13 +43,13 @@
 
 
 class _Foreign(msgspec.Struct, frozen=True):
-    """Hold what another entry said of its lanes, and when."""
+    """Hold what another entry said of its capacities, and when."""
 
-    uses_by_id: dict[EndpointId, LaneUse]
+    uses_by_id: dict[EndpointId, CapacityUse]
     heard_at: float
 
 
-class Lane:
+class EndpointCapacity:
     """Say whether an endpoint takes another call, and how much room is left there."""
 
     def __init__(self, *, endpoint_id: EndpointId, limits: PieceLimits) -> None:
@@ -84,8 +84,8 @@
             return False
         if self.short_since_ is None:
             self.short_since_ = now
-        patience_s = ROOM_PATIENCE * self.limits.call_ms / 1_000.0
-        return bool(self.held_by_handle_) and now - self.short_since_ < patience_s
+        hall_wait_s = ROOM_WAIT_PART * self.limits.call_ms / 1_000.0
+        return bool(self.held_by_handle_) and now - self.short_since_ < hall_wait_s
 
     def is_free(self, now: float) -> bool:
         """Tell whether the endpoint may get a call now."""
@@ -135,24 +135,24 @@
         self.paused_until_ = max(self.paused_until_, now + seconds)
 
 
-class LaneTable:
+class CapacityTable:
     """Choose where the next batch of a service goes."""
 
     def __init__(self) -> None:
-        self.lanes_by_id_: dict[EndpointId, Lane] = {}
+        self.capacity_by_id_: dict[EndpointId, EndpointCapacity] = {}
         self.foreign_by_entry_: dict[EntryId, _Foreign] = {}
 
-    def uses(self, now: float) -> list[LaneUse]:
+    def uses(self, now: float) -> list[CapacityUse]:
         """Return what this process has at endpoints: calls, and results by size."""
         found = []
-        for endpoint_id, lane in self.lanes_by_id_.items():
-            used_bytes = lane.limits.room_bytes - lane.room_bytes(now)
-            if lane.calls_ > 0 or used_bytes > 0:
-                found.append(LaneUse(endpoint_id, used_bytes, lane.calls_))
+        for endpoint_id, capacity in self.capacity_by_id_.items():
+            used_bytes = capacity.limits.room_bytes - capacity.room_bytes(now)
+            if capacity.calls_ > 0 or used_bytes > 0:
+                found.append(CapacityUse(endpoint_id, used_bytes, capacity.calls_))
         return found
 
     def note_foreign(
-        self, entry_id: EntryId, uses: Iterable[LaneUse], now: float
+        self, entry_id: EntryId, uses: Iterable[CapacityUse], now: float
     ) -> None:
         """Take in what another entry still has at endpoints of groups it left."""
         uses_by_id = {use.endpoint_id: use for use in uses}
@@ -161,7 +161,7 @@
         else:
             self.foreign_by_entry_.pop(entry_id, None)
 
-    def _foreign(self, endpoint_id: EndpointId, now: float) -> list[LaneUse]:
+    def _foreign(self, endpoint_id: EndpointId, now: float) -> list[CapacityUse]:
         return [
             foreign.uses_by_id[endpoint_id]
             for foreign in self.foreign_by_entry_.values()
@@ -174,22 +174,24 @@
     ) -> int:
         """Return the room that the results of all entries leave at an endpoint."""
         foreign = sum(use.result_bytes for use in self._foreign(endpoint_id, now))
-        return self.lane(endpoint_id, limits).room_bytes(now) - foreign
+        return self.capacity(endpoint_id, limits).room_bytes(now) - foreign
 
     def is_free(self, endpoint_id: EndpointId, limits: PieceLimits, now: float) -> bool:
         """Tell whether an endpoint may get a call now, those of others counted."""
-        lane = self.lane(endpoint_id, limits)
+        capacity = self.capacity(endpoint_id, limits)
         foreign = sum(use.calls for use in self._foreign(endpoint_id, now))
-        return lane.is_free(now) and lane.calls_ + foreign < limits.slots
-
-    def lane(self, endpoint_id: EndpointId, limits: PieceLimits) -> Lane:
-        """Return the lane of an endpoint."""
-        lane = self.lanes_by_id_.get(endpoint_id)
-        if lane is None:
-            lane = Lane(endpoint_id=endpoint_id, limits=limits)
-            self.lanes_by_id_[endpoint_id] = lane
-        lane.limits = limits
-        return lane
+        return capacity.is_free(now) and capacity.calls_ + foreign < limits.slots
+
+    def capacity(
+        self, endpoint_id: EndpointId, limits: PieceLimits
+    ) -> EndpointCapacity:
+        """Return the capacity of an endpoint."""
+        capacity = self.capacity_by_id_.get(endpoint_id)
+        if capacity is None:
+            capacity = EndpointCapacity(endpoint_id=endpoint_id, limits=limits)
+            self.capacity_by_id_[endpoint_id] = capacity
+        capacity.limits = limits
+        return capacity
 
     def ranked(
         self,
@@ -231,12 +233,12 @@
     def _finish_s(
         self, record: EndpointRecord, limits: PieceLimits, pieces: int, now: float
     ) -> float:
-        lane = self.lane(record.listed.endpoint_id, limits)
+        capacity = self.capacity(record.listed.endpoint_id, limits)
         duration_s = limits.duration_ms(pieces) / 1_000.0
         duration_s *= max(1.0, record.slowness_.value_)
-        wait_s = max(0.0, lane.busy_until_ - now) if lane.calls_ else 0.0
+        wait_s = max(0.0, capacity.busy_until_ - now) if capacity.calls_ else 0.0
         wait_s += record.waiting_elsewhere(now) * duration_s
-        wait_s = max(wait_s, lane.paused_until_ - now)
+        wait_s = max(wait_s, capacity.paused_until_ - now)
         return wait_s + duration_s
 
     def wait_s(
@@ -251,13 +253,16 @@
 
         Units: seconds; infinite without an endpoint.
         """
-        lanes = [self.lane(record.listed.endpoint_id, limits) for record in records]
-        if not lanes:
+        capacities = [
+            self.capacity(record.listed.endpoint_id, limits) for record in records
+        ]
+        if not capacities:
             return float("inf")
         lefts = [
-            max(lane.busy_until_ - now if lane.calls_ else 0.0, 0.0) for lane in lanes
+            max(capacity.busy_until_ - now if capacity.calls_ else 0.0, 0.0)
+            for capacity in capacities
         ]
-        rounds = waiting // (limits.batch * len(lanes))
+        rounds = waiting // (limits.batch * len(capacities))
         return min(lefts) + rounds * limits.full_call_s
 
     def room_bytes(
@@ -270,7 +275,7 @@
         )
 
     def retain(self, known: set[EndpointId]) -> None:
-        """Forget the lanes of endpoints that left, once their calls have ended."""
-        for endpoint_id, lane in list(self.lanes_by_id_.items()):
-            if endpoint_id not in known and lane.calls_ == 0:
-                del self.lanes_by_id_[endpoint_id]
+        """Forget the capacities of endpoints that left, once their calls have ended."""
+        for endpoint_id, capacity in list(self.capacity_by_id_.items()):
+            if endpoint_id not in known and capacity.calls_ == 0:
+                del self.capacity_by_id_[endpoint_id]
--- a/packages/leadford/src/leadford/forwarding/batching/_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_filling.py
@@ -4,13 +4,13 @@
 call ended, an endpoint was listed. It decides from the pieces that wait, the calls and
 results at each endpoint, and what is believed of the endpoints. In this order:
 
-1. A call that is not full waits a little for more pieces (`PieceQueue.ripe_at`).
+1. A call that is not full waits a little for more pieces (`PieceQueue.window_ends_at`).
 2. Endpoints are tried in the order in which they would finish the call
-   (`LaneTable.ranked`); one that is short of room waits a little for it
-   (`Lane.awaits_room`).
+   (`CapacityTable.ranked`); one that is short of room waits a little for it
+   (`EndpointCapacity.awaits_room`).
 3. The call takes the pieces that are due first, as far as they fit
    (`PieceQueue.take`); pieces may stay away for the hall of their inputs
-   (`Chunk.stays_away`).
+   (`Chunk.waits_for_other_hall`).
 4. Pieces that every endpoint excludes are given back.
 
 Sending the call, and making lost pieces again (`_remake`), are left to others.
@@ -22,7 +22,7 @@
 import msgspec
 
 from leadford.common import HallId
-from leadford.forwarding.batching._lanes import LaneTable
+from leadford.forwarding.batching._capacity import CapacityTable
 from leadford.forwarding.batching._queue import Chunk, PieceQueue, PieceTask
 from leadford.forwarding.endpoints import EndpointRecord
 from leadford.forwarding.routes import PieceLimits
@@ -56,7 +56,7 @@
 
 def next_call(
     queue: PieceQueue,
-    lanes: LaneTable,
+    capacities: CapacityTable,
     records: list[EndpointRecord],
     limits: PieceLimits,
     now: float,
@@ -65,24 +65,24 @@
 
     `records` are the usable endpoints of the group, of which there is at least one.
     """
-    wait_s = queue.ripe_at(limits) - now
+    wait_s = queue.window_ends_at(limits) - now
     if wait_s > 0.0:
         return NextCall(FillAction.WAIT_FOR_MORE, wait_s=wait_s)
-    free_in_s_by_hall = _free_in_s_by_hall(lanes, records, limits, now)
-    for record in _candidates(queue, lanes, records, limits, now):
+    free_in_s_by_hall = _free_in_s_by_hall(capacities, records, limits, now)
+    for record in _candidates(queue, capacities, records, limits, now):
         endpoint_id = record.listed.endpoint_id
         hall = record.listed.hall
-        lane = lanes.lane(endpoint_id, limits)
-        if lane.awaits_room(queue.first_bytes(limits.batch), now):
+        capacity = capacities.capacity(endpoint_id, limits)
+        if capacity.awaits_room(queue.first_bytes(limits.batch), now):
             continue
-        room_bytes = lanes.room_left(endpoint_id, limits, now)
+        room_bytes = capacities.room_left(endpoint_id, limits, now)
         tasks = queue.take(
             batch=limits.batch,
             room_bytes=room_bytes,
             endpoint_id=endpoint_id,
             hall=hall,
-            stays_away=partial(
-                Chunk.stays_away,
+            waits_for_other_hall=partial(
+                Chunk.waits_for_other_hall,
                 hall=hall,
                 free_in_s_by_hall=free_in_s_by_hall,
                 limits=limits,
@@ -97,7 +97,7 @@
 
 def _candidates(
     queue: PieceQueue,
-    lanes: LaneTable,
+    capacities: CapacityTable,
     records: list[EndpointRecord],
     limits: PieceLimits,
     now: float,
@@ -105,10 +105,10 @@
     """Return the free endpoints, the best first for the pieces that are due first."""
     first = queue.first()
     moving_s_by_hall = {
-        record.listed.hall: first.patience_s(record.listed.hall, limits, now)
+        record.listed.hall: first.hall_wait_s(record.listed.hall, limits, now)
         for record in records
     }
-    return lanes.ranked(
+    return capacities.ranked(
         records,
         limits,
         waiting=len(queue),
@@ -118,7 +118,10 @@
 
 
 def _free_in_s_by_hall(
-    lanes: LaneTable, records: list[EndpointRecord], limits: PieceLimits, now: float
+    capacities: CapacityTable,
+    records: list[EndpointRecord],
+    limits: PieceLimits,
+    now: float,
 ) -> dict[HallId, float]:
     """Return when the first endpoint of each hall is expected to be free."""
     free_in_s: dict[HallId, float] = {}
@@ -126,9 +129,9 @@
         if record.is_suspect(now):
             continue
         hall = record.listed.hall
-        lane = lanes.lane(record.listed.endpoint_id, limits)
-        lane_s = lane.free_in_s(now)
-        free_in_s[hall] = min(lane_s, free_in_s.get(hall, lane_s))
+        capacity = capacities.capacity(record.listed.endpoint_id, limits)
+        free_s = capacity.free_in_s(now)
+        free_in_s[hall] = min(free_s, free_in_s.get(hall, free_s))
     return free_in_s
 
 
--- a/packages/leadford/src/leadford/forwarding/batching/_queue.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_queue.py
@@ -11,14 +11,14 @@
 
 # Full calls of time to spare below which a piece does not wait for others; commit
 # 33a2606, not measured.
-URGENT_CALLS = 4.0
+WINDOW_SPARE_CALLS = 4.0
 # Part of the time to spare beyond that which a piece waits for others, and the most, as
 # a part of a call's fixed time; commit 33a2606, neither was measured alone.
-COMPANY_PART = 0.08
-COMPANY_MOST = 0.9
+WINDOW_PART = 0.08
+WINDOW_MOST_PART = 0.9
 # Part of the time to spare that a piece waits for the hall of its inputs; commit
 # efda85d, a fifth before.
-PATIENCE_PART = 0.35
+HALL_WAIT_PART = 0.35
 # Full calls that are kept of that time: the call itself, and as much again twice for
 # what may go wrong. With one call kept, 26 of 141 reviews of quiet-1 of tpj-damier were
 # late, with three 23 (commit efda85d).
@@ -81,16 +81,16 @@
         """Return what speaks against a hall, as a wait: bytes that have to move."""
         return moving_s(self.tasks[0].moved_bytes(hall) * len(self.tasks))
 
-    def patience_s(self, hall: HallId, limits: PieceLimits, now: float) -> float:
+    def hall_wait_s(self, hall: HallId, limits: PieceLimits, now: float) -> float:
         """Return how long to wait for an endpoint elsewhere rather than use a hall.
 
         A request with little time to spare does not wait for the sake of bytes.
         """
         call_s = limits.full_call_s
         spare_s = max(0.0, self.tasks[0].due_at - now - SPARE_CALLS * call_s)
-        return min(self.moving_s(hall), PATIENCE_PART * spare_s)
+        return min(self.moving_s(hall), HALL_WAIT_PART * spare_s)
 
-    def stays_away(
+    def waits_for_other_hall(
         self,
         hall: HallId,
         free_in_s_by_hall: dict[HallId, float],
@@ -98,9 +98,9 @@
         now: float,
     ) -> bool:
         """Tell whether another hall is better and has an endpoint free in time."""
-        patience_s = self.patience_s(hall, limits, now)
+        hall_wait_s = self.hall_wait_s(hall, limits, now)
         return any(
-            free_in_s < patience_s - self.patience_s(other, limits, now)
+            free_in_s < hall_wait_s - self.hall_wait_s(other, limits, now)
             for other, free_in_s in free_in_s_by_hall.items()
             if other != hall
         )
@@ -143,22 +143,22 @@
         """Return the room that the waiting pieces will take."""
         return sum(task.result_bytes for task in self.tasks_)
 
-    def ripe_at(self, limits: PieceLimits) -> float:
+    def window_ends_at(self, limits: PieceLimits) -> float:
         """Return from when a call that is not full should leave all the same.
 
-        A piece whose request has time to spare waits a little for company: a call
+        A piece whose request has time to spare waits a little for more pieces: a call
         costs much more than a piece in it.
         """
         if len(self.tasks_) >= limits.batch:
             return 0.0
-        urgent_s = URGENT_CALLS * limits.full_call_s
-        most_s = COMPANY_MOST * limits.call_ms / 1_000.0
-        ripe_at = float("inf")
+        spare_least_s = WINDOW_SPARE_CALLS * limits.full_call_s
+        most_s = WINDOW_MOST_PART * limits.call_ms / 1_000.0
+        window_ends_at = float("inf")
         for task in self.tasks_:
-            spare_s = task.due_at - task.queued_at - urgent_s
-            wait_s = min(most_s, max(0.0, COMPANY_PART * spare_s))
-            ripe_at = min(ripe_at, task.queued_at + wait_s)
-        return ripe_at
+            spare_s = task.due_at - task.queued_at - spare_least_s
+            wait_s = min(most_s, max(0.0, WINDOW_PART * spare_s))
+            window_ends_at = min(window_ends_at, task.queued_at + wait_s)
+        return window_ends_at
 
     def first_bytes(self, batch: int) -> int:
         """Return the room that a full call of the first pieces takes."""
@@ -176,7 +176,7 @@
         room_bytes: int,
         endpoint_id: EndpointId,
         hall: HallId | None = None,
-        stays_away: Callable[[Chunk], bool] = lambda chunk: False,
+        waits_for_other_hall: Callable[[Chunk], bool] = lambda chunk: False,
     ) -> list[PieceTask]:
         """Remove and return the pieces of the next call to an endpoint.
 
@@ -194,7 +194,7 @@
             allowed = [task for task in tasks if endpoint_id not in task.excluded]
             places = batch - len(taken)
             is_split = number > 0 and places < len(allowed) <= batch
-            if is_split or (is_short and stays_away(chunk)):
+            if is_split or (is_short and waits_for_other_hall(chunk)):
                 left += tasks
                 continue
             fitting: list[PieceTask] = []
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
@@ -4,14 +4,14 @@
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
 from leadford.forwarding.batching import (
+    AdmittedBacklog,
+    BacklogKey,
+    CapacityTable,
+    CapacityUse,
     Chunk,
-    CommitmentKey,
-    CommitmentTable,
     GroupId,
     GroupLoad,
     GroupTable,
-    LaneTable,
-    LaneUse,
     PieceKey,
     PieceQueue,
     PieceTask,
@@ -152,12 +152,12 @@
     assert queue.take(batch=4, room_bytes=100, endpoint_id=EndpointId("f"))
 
 
-def test_time_to_spare_waits_for_company_and_urgency_does_not():
-    assert fill(task("a", due=1.0)).ripe_at(LIMITS) == 0.0
-    ripe_at = fill(task("a", due=4.0)).ripe_at(LIMITS)
-    assert 0.0 < ripe_at <= 0.18
+def test_time_to_spare_waits_for_more_pieces_and_urgency_does_not():
+    assert fill(task("a", due=1.0)).window_ends_at(LIMITS) == 0.0
+    window_ends_at = fill(task("a", due=4.0)).window_ends_at(LIMITS)
+    assert 0.0 < window_ends_at <= 0.18
     full = fill(*[task("a", n, due=9.0) for n in range(4)])
-    assert full.ripe_at(LIMITS) == 0.0
+    assert full.window_ends_at(LIMITS) == 0.0
 
 
 def record(name, hall="h"):
@@ -173,87 +173,87 @@
     )
 
 
-def test_a_lane_takes_one_call_and_counts_results_as_room():
-    lanes = LaneTable()
-    lane = lanes.lane(ENDPOINT, LIMITS)
-    lane.begin(2, 40, 0.0)
-    assert not lane.is_free(0.1)
-    assert lane.room_bytes(0.1) == 60
-    lane.end(40)
-    lane.hold(ResultHandle("r"), 40, 1.0)
-    assert lane.is_free(1.0) and lane.room_bytes(1.0) == 60
-    lane.free(ResultHandle("r"))
-    assert lane.room_bytes(1.0) == 100
-    lane.hold(ResultHandle("r2"), 40, 1.0)
-    assert lane.room_bytes(5.1) == 100
+def test_an_endpoint_takes_one_call_and_its_results_count_as_room():
+    capacities = CapacityTable()
+    capacity = capacities.capacity(ENDPOINT, LIMITS)
+    capacity.begin(2, 40, 0.0)
+    assert not capacity.is_free(0.1)
+    assert capacity.room_bytes(0.1) == 60
+    capacity.end(40)
+    capacity.hold(ResultHandle("r"), 40, 1.0)
+    assert capacity.is_free(1.0) and capacity.room_bytes(1.0) == 60
+    capacity.free(ResultHandle("r"))
+    assert capacity.room_bytes(1.0) == 100
+    capacity.hold(ResultHandle("r2"), 40, 1.0)
+    assert capacity.room_bytes(5.1) == 100
 
 
 def test_a_scheduler_counts_what_its_predecessor_still_has():
-    lanes = LaneTable()
+    capacities = CapacityTable()
     before = EntryId("n1")
-    lanes.note_foreign(before, [LaneUse(ENDPOINT, 70, 1)], 0.0)
-    assert lanes.room_left(ENDPOINT, LIMITS, 0.1) == 30
-    assert not lanes.is_free(ENDPOINT, LIMITS, 0.1)
-    assert lanes.ranked([record("e")], LIMITS, waiting=1, now=0.1) == []
-    lanes.note_foreign(before, [LaneUse(ENDPOINT, 20, 0)], 0.2)
-    assert lanes.room_left(ENDPOINT, LIMITS, 0.3) == 80
-    assert lanes.is_free(ENDPOINT, LIMITS, 0.3)
+    capacities.note_foreign(before, [CapacityUse(ENDPOINT, 70, 1)], 0.0)
+    assert capacities.room_left(ENDPOINT, LIMITS, 0.1) == 30
+    assert not capacities.is_free(ENDPOINT, LIMITS, 0.1)
+    assert capacities.ranked([record("e")], LIMITS, waiting=1, now=0.1) == []
+    capacities.note_foreign(before, [CapacityUse(ENDPOINT, 20, 0)], 0.2)
+    assert capacities.room_left(ENDPOINT, LIMITS, 0.3) == 80
+    assert capacities.is_free(ENDPOINT, LIMITS, 0.3)
     # What was said long ago, by an entry that may be gone, counts no more.
-    assert lanes.room_left(ENDPOINT, LIMITS, 3.0) == 100
-    lanes.note_foreign(before, [], 3.0)
-    assert lanes.foreign_by_entry_ == {}
+    assert capacities.room_left(ENDPOINT, LIMITS, 3.0) == 100
+    capacities.note_foreign(before, [], 3.0)
+    assert capacities.foreign_by_entry_ == {}
 
 
 def test_a_scheduler_tells_what_it_still_has():
-    lanes = LaneTable()
-    lanes.lane(EndpointId("idle"), LIMITS)
-    lane = lanes.lane(ENDPOINT, LIMITS)
-    lane.begin(2, 40, 0.0)
-    lane.hold(ResultHandle("r"), 10, 0.0)
-    assert lanes.uses(0.1) == [LaneUse(ENDPOINT, 50, 1)]
+    capacities = CapacityTable()
+    capacities.capacity(EndpointId("idle"), LIMITS)
+    capacity = capacities.capacity(ENDPOINT, LIMITS)
+    capacity.begin(2, 40, 0.0)
+    capacity.hold(ResultHandle("r"), 10, 0.0)
+    assert capacities.uses(0.1) == [CapacityUse(ENDPOINT, 50, 1)]
 
 
 def test_a_short_call_waits_for_room_within_a_bound():
-    lane = LaneTable().lane(ENDPOINT, LIMITS)
-    lane.hold(ResultHandle("r"), 90, 0.0)
-    assert not lane.awaits_room(10, 0.0)
-    assert lane.awaits_room(40, 0.0)
-    assert lane.awaits_room(40, 0.1)
-    assert not lane.awaits_room(40, 0.2)
+    capacity = CapacityTable().capacity(ENDPOINT, LIMITS)
+    capacity.hold(ResultHandle("r"), 90, 0.0)
+    assert not capacity.awaits_room(10, 0.0)
+    assert capacity.awaits_room(40, 0.0)
+    assert capacity.awaits_room(40, 0.1)
+    assert not capacity.awaits_room(40, 0.2)
 
 
 def test_refused_room_is_believed_for_a_while():
-    lane = LaneTable().lane(ENDPOINT, LIMITS)
-    lane.note_refused(100, 30, 0.0)
-    assert lane.room_bytes(0.1) == 30
-    lane.note_refused(30, 30, 0.2)
-    assert lane.room_bytes(0.25) == 30
-    assert lane.room_bytes(0.4) == 100
+    capacity = CapacityTable().capacity(ENDPOINT, LIMITS)
+    capacity.note_refused(100, 30, 0.0)
+    assert capacity.room_bytes(0.1) == 30
+    capacity.note_refused(30, 30, 0.2)
+    assert capacity.room_bytes(0.25) == 30
+    assert capacity.room_bytes(0.4) == 100
 
 
 def test_an_endpoint_that_frees_soon_is_waited_for():
-    lanes = LaneTable()
+    capacities = CapacityTable()
     first, second = record("e1"), record("e2")
-    lanes.lane(EndpointId("e1"), LIMITS).begin(4, 0, 0.0)
+    capacities.capacity(EndpointId("e1"), LIMITS).begin(4, 0, 0.0)
     second.slowness_.value_ = 4.0
-    assert lanes.ranked([first, second], LIMITS, waiting=2, now=0.35) == []
-    assert lanes.ranked([first, second], LIMITS, waiting=8, now=0.35) == [second]
+    assert capacities.ranked([first, second], LIMITS, waiting=2, now=0.35) == []
+    assert capacities.ranked([first, second], LIMITS, waiting=8, now=0.35) == [second]
 
 
 def test_suspects_get_calls_only_when_alone():
-    lanes = LaneTable()
+    capacities = CapacityTable()
     bad, good = record("e1"), record("e2")
     bad.note_failure(0.0, EndpointFailure.LOST)
-    assert lanes.ranked([bad, good], LIMITS, waiting=9, now=0.1) == [good]
-    assert lanes.ranked([bad], LIMITS, waiting=1, now=0.1) == [bad]
+    assert capacities.ranked([bad, good], LIMITS, waiting=9, now=0.1) == [good]
+    assert capacities.ranked([bad], LIMITS, waiting=1, now=0.1) == [bad]
 
 
 def test_wait_of_a_group_counts_rounds():
-    lanes = LaneTable()
+    capacities = CapacityTable()
     records = [record("e1"), record("e2")]
-    assert lanes.wait_s(records, LIMITS, waiting=0, now=0.0) == 0.0
-    assert lanes.wait_s(records, LIMITS, waiting=8, now=0.0) == pytest.approx(0.4)
-    assert lanes.wait_s([], LIMITS, waiting=0, now=0.0) == float("inf")
+    assert capacities.wait_s(records, LIMITS, waiting=0, now=0.0) == 0.0
+    assert capacities.wait_s(records, LIMITS, waiting=8, now=0.0) == pytest.approx(0.4)
+    assert capacities.wait_s([], LIMITS, waiting=0, now=0.0) == float("inf")
 
 
 def test_schedulers_are_near_and_the_same_for_everybody():
@@ -332,64 +332,67 @@
     assert ids(taken) == [("urgent", 0)]
 
 
-def stays_away(task_to_check, hall, free_in_s_by_hall, pieces=1):
+def waits_for_other_hall(task_to_check, hall, free_in_s_by_hall, pieces=1):
     chunk = Chunk((task_to_check,) * pieces)
     free_in_s = {HallId(name): value for name, value in free_in_s_by_hall.items()}
-    return chunk.stays_away(HallId(hall), free_in_s, LIMITS, 0.0)
+    return chunk.waits_for_other_hall(HallId(hall), free_in_s, LIMITS, 0.0)
 
 
 def test_pieces_wait_for_the_hall_of_their_inputs_if_it_is_soon_free():
     reader = task("a", due=5.0, near={"g": 500_000})
-    assert stays_away(reader, "h", {"h": 0.0, "g": 0.0})
-    assert not stays_away(reader, "g", {"h": 0.0, "g": 0.0})
-    assert not stays_away(reader, "h", {"h": 0.0, "g": 2.0})
-    assert not stays_away(reader, "h", {"h": 0.0})
+    assert waits_for_other_hall(reader, "h", {"h": 0.0, "g": 0.0})
+    assert not waits_for_other_hall(reader, "g", {"h": 0.0, "g": 0.0})
+    assert not waits_for_other_hall(reader, "h", {"h": 0.0, "g": 2.0})
+    assert not waits_for_other_hall(reader, "h", {"h": 0.0})
     # More pieces that read the same inputs are worth a longer wait.
-    assert not stays_away(reader, "h", {"g": 0.3}, pieces=1)
-    assert stays_away(reader, "h", {"g": 0.3}, pieces=8)
+    assert not waits_for_other_hall(reader, "h", {"g": 0.3}, pieces=1)
+    assert waits_for_other_hall(reader, "h", {"g": 0.3}, pieces=8)
 
 
 def test_pieces_without_time_to_spare_wait_for_no_hall():
     urgent = task("a", due=0.5, near={"g": 500_000})
-    assert not stays_away(urgent, "h", {"h": 0.0, "g": 0.1}, pieces=8)
+    assert not waits_for_other_hall(urgent, "h", {"h": 0.0, "g": 0.1}, pieces=8)
 
 
-def test_pieces_that_stay_away_are_left_unless_more_waits_than_two_calls_take():
+def test_pieces_wait_for_another_hall_unless_more_waits_than_two_calls_take():
     away = task("away", due=1.0)
     queue = fill(away, task("here", due=2.0))
     taken = queue.take(
         batch=4,
         room_bytes=100,
         endpoint_id=ENDPOINT,
-        stays_away=lambda chunk: chunk.tasks[0] is away,
+        waits_for_other_hall=lambda chunk: chunk.tasks[0] is away,
     )
     assert ids(taken) == [("here", 0)]
     queue = fill(*[task("away", n, due=1.0) for n in range(9)])
     taken = queue.take(
-        batch=4, room_bytes=100, endpoint_id=ENDPOINT, stays_away=lambda chunk: True
+        batch=4,
+        room_bytes=100,
+        endpoint_id=ENDPOINT,
+        waits_for_other_hall=lambda chunk: True,
     )
     assert len(taken) == 4
 
 
 def test_a_free_endpoint_of_another_hall_takes_what_waits_for_a_busy_one():
-    lanes = LaneTable()
+    capacities = CapacityTable()
     near, far = record("e1", "h"), record("e2", "g")
     moving = {HallId("h"): 0.0, HallId("g"): 0.2}
-    found = lanes.ranked(
+    found = capacities.ranked(
         [near, far], LIMITS, waiting=2, now=0.0, moving_s_by_hall=moving
     )
     assert found == [near]
-    lanes.lane(EndpointId("e1"), LIMITS).begin(4, 0, 0.0)
-    found = lanes.ranked(
+    capacities.capacity(EndpointId("e1"), LIMITS).begin(4, 0, 0.0)
+    found = capacities.ranked(
         [near, far], LIMITS, waiting=2, now=0.0, moving_s_by_hall=moving
     )
     assert found == [far]
 
 
-def test_commitments_of_other_entries_expire():
-    table = CommitmentTable()
-    key = CommitmentKey(SERVICE, True)
-    later = CommitmentKey(SERVICE, False)
+def test_the_backlog_of_other_entries_expires():
+    table = AdmittedBacklog()
+    key = BacklogKey(SERVICE, True)
+    later = BacklogKey(SERVICE, False)
     table.add(key, 4)
     table.note_heard(EntryId("n1"), {key: 2, later: 10}, 0.0)
 
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
@@ -5,8 +5,8 @@
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
 from leadford.forwarding.batching import (
+    CapacityTable,
     FillAction,
-    LaneTable,
     PieceKey,
     PieceQueue,
     PieceTask,
@@ -74,7 +74,7 @@
 
 def test_a_call_that_is_not_full_waits_while_its_requests_have_time():
     queue = fill(tasks(2, due_at=20.0))
-    step = next_call(queue, LaneTable(), [record()], LIMITS, 0.0)
+    step = next_call(queue, CapacityTable(), [record()], LIMITS, 0.0)
     assert step.action is FillAction.WAIT_FOR_MORE
     assert step.wait_s == pytest.approx(0.18)
     assert len(queue) == 2
@@ -83,7 +83,7 @@
 def test_a_full_call_leaves_at_once_with_the_room_that_was_believed():
     queue = fill(tasks(5, due_at=20.0))
     endpoint = record()
-    step = next_call(queue, LaneTable(), [endpoint], LIMITS, 0.0)
+    step = next_call(queue, CapacityTable(), [endpoint], LIMITS, 0.0)
     assert step.action is FillAction.SEND
     assert step.record is endpoint
     assert step.room_bytes == 100
@@ -92,26 +92,26 @@
 
 
 def test_an_endpoint_whose_slot_is_taken_gets_no_call():
-    lanes = LaneTable()
+    capacities = CapacityTable()
     busy = record("busy")
-    lanes.lane(EndpointId("busy"), LIMITS).begin(4, 40, 0.0)
+    capacities.capacity(EndpointId("busy"), LIMITS).begin(4, 40, 0.0)
     queue = fill(tasks(4))
-    step = next_call(queue, lanes, [busy], LIMITS, 0.0)
+    step = next_call(queue, capacities, [busy], LIMITS, 0.0)
     assert step.action is FillAction.LOOK_AGAIN
     assert step.unserved == ()
     assert len(queue) == 4
     free = record("free")
-    assert next_call(queue, lanes, [busy, free], LIMITS, 0.0).record is free
+    assert next_call(queue, capacities, [busy, free], LIMITS, 0.0).record is free
 
 
 def test_a_call_waits_for_room_that_is_about_to_come_free():
-    lanes = LaneTable()
-    lane = lanes.lane(EndpointId("e"), LIMITS)
-    lane.hold(ResultHandle("a/1"), 80, 0.0)
+    capacities = CapacityTable()
+    capacity = capacities.capacity(EndpointId("e"), LIMITS)
+    capacity.hold(ResultHandle("a/1"), 80, 0.0)
     queue = fill(tasks(4))
-    assert next_call(queue, lanes, [record()], LIMITS, 0.0).tasks == ()
+    assert next_call(queue, capacities, [record()], LIMITS, 0.0).tasks == ()
     # The wait is bounded; after it the call takes what fits.
-    step = next_call(queue, lanes, [record()], LIMITS, 0.2)
+    step = next_call(queue, capacities, [record()], LIMITS, 0.2)
     assert step.action is FillAction.SEND
     assert len(step.tasks) == 2
     assert step.room_bytes == 20
@@ -120,7 +120,7 @@
 def test_pieces_that_every_endpoint_excludes_are_given_back():
     excluded = frozenset({EndpointId("e")})
     queue = fill(tasks(2, excluded=excluded))
-    step = next_call(queue, LaneTable(), [record()], LIMITS, 0.0)
+    step = next_call(queue, CapacityTable(), [record()], LIMITS, 0.0)
     assert step.action is FillAction.LOOK_AGAIN
     assert len(step.unserved) == 2
     assert len(queue) == 0
@@ -130,18 +130,20 @@
     suspect, sound = record("suspect"), record("sound", "far")
     suspect.note_failure(0.0, EndpointFailure.LOST)
     queue = fill(tasks(4))
-    assert next_call(queue, LaneTable(), [suspect, sound], LIMITS, 0.1).record is sound
+    assert (
+        next_call(queue, CapacityTable(), [suspect, sound], LIMITS, 0.1).record is sound
+    )
 
 
 def test_pieces_with_time_to_spare_are_left_for_the_hall_of_their_inputs():
-    lanes = LaneTable()
+    capacities = CapacityTable()
     near, far = record("near", "near"), record("far", "far")
     # The near endpoint ends its call in 0.2 s; moving the inputs is worth more.
-    lanes.lane(EndpointId("near"), LIMITS).begin(0, 0, 0.0)
+    capacities.capacity(EndpointId("near"), LIMITS).begin(0, 0, 0.0)
     near_bytes = {HallId("near"): 3_000_000}
     waiting = tasks(4, due_at=20.0, near_bytes_by_hall=near_bytes)
-    step = next_call(fill(waiting), lanes, [near, far], LIMITS, 0.0)
+    step = next_call(fill(waiting), capacities, [near, far], LIMITS, 0.0)
     assert step.action is FillAction.LOOK_AGAIN
     hurried = tasks(4, due_at=0.5, near_bytes_by_hall=near_bytes)
-    step = next_call(fill(hurried), lanes, [near, far], LIMITS, 0.0)
+    step = next_call(fill(hurried), capacities, [near, far], LIMITS, 0.0)
     assert step.record is far
