--- a/bench/forward_latency.py
+++ b/bench/forward_latency.py
@@ -26,7 +26,7 @@
 
     async def serve(self, handler) -> None:
         """Run one stream."""
-        handler.note_run()
+        handler.record_run()
         handler.set_header("Content-Type", "text/event-stream")
         for number in range(1, EVENTS + 1):
             await asyncio.sleep(EVENT_PAUSE_S)
--- a/packages/leadford-server/src/leadford_server/forwarding/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/__init__.py
@@ -7,13 +7,13 @@
     InboundRequest,
     KnownEntry,
     NotRunCause,
+    ObjectCodec,
     ObjectEvent,
     ObjectEvents,
     ObjectList,
-    ObjectWire,
     OutboundRequest,
     PieceOutcome,
-    RequestWire,
+    RequestCodec,
 )
 from leadford_server.forwarding._process import ForwardProcess, ForwardSettings
 from leadford_server.forwarding._state import ForwardBounds
@@ -28,11 +28,11 @@
     "InboundRequest",
     "KnownEntry",
     "NotRunCause",
+    "ObjectCodec",
     "ObjectEvent",
     "ObjectEvents",
     "ObjectList",
-    "ObjectWire",
     "OutboundRequest",
     "PieceOutcome",
-    "RequestWire",
+    "RequestCodec",
 ]
--- a/packages/leadford-server/src/leadford_server/forwarding/_answer.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_answer.py
@@ -14,7 +14,7 @@
     may_pass_on,
 )
 from leadford_server.forwarding._attempts import Attempt, EndpointAttempts
-from leadford_server.forwarding._door import Exchange
+from leadford_server.forwarding._callers import CallerExchange
 from leadford_server.forwarding._inputs import RequestInputs
 from leadford_server.forwarding._progress import RequestEnd, RequestProgress
 from leadford_server.forwarding._state import ForwardState
@@ -28,7 +28,7 @@
     def __init__(
         self,
         *,
-        exchange: Exchange,
+        exchange: CallerExchange,
         state: ForwardState,
         admission: ForwardAdmission,
         attempts: EndpointAttempts,
@@ -51,14 +51,14 @@
         """Write the head of a stream, and record how long it took to come."""
         head = attempt.answer.head
         progress = self.progress
-        admitted = progress.admitted_
+        match = progress.match_
         progress.first_byte_at_ = self.state.now()
         engine_s = progress.first_byte_at_ - attempt.began_at
-        self.state.engine_s(admitted.service.service_id).update(engine_s)
+        self.state.engine_s(match.service.service_id).update(engine_s)
         self.attempts.record_first_token(engine_s)
         if progress.expected_s_ > 0.0:
             actual_s = progress.first_byte_at_ - progress.request.received_at
-            self.admission.note_answered(admitted.route, progress.expected_s_, actual_s)
+            self.admission.record_answered(match.route, progress.expected_s_, actual_s)
         progress.model_version_ = head.model_version
         self.exchange.begin(head.status, head.headers, head.reason)
         self.inputs.release()
@@ -100,7 +100,7 @@
         if answer.outcome is RequestOutcome.BROKEN_OFF:
             self.exchange.abort()
         else:
-            headers = self.state.wire.refusal(answer.retry_after_s)
+            headers = self.state.codec.refusal(answer.retry_after_s)
             self.exchange.answer(answer.status, headers)
         self._set_end(answer.outcome, reason, answer.status, detail)
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
@@ -90,7 +90,7 @@
     def choose(self) -> EndpointRecord | None:
         """Return the endpoint that another attempt would ask."""
         state = self.state
-        service = self.progress.admitted_.service
+        service = self.progress.match_.service
         records = state.usable(service.service_id)
         tried = self.progress.tried_
         if service.engine is not None:
@@ -116,7 +116,7 @@
         connection: EndpointConnection | None = None
         try:
             connection = await self.state.pool_.acquire(
-                record, self.progress.admitted_.service.connections_max
+                record, self.progress.match_.service.connections_max
             )
             answer = await self._send(record, connection, limit_at)
         except ExchangeBroken as failure:
@@ -145,8 +145,8 @@
     def ask_retry(self, end: AttemptEnd, detail: str) -> RetryDecision:
         """Return whether another attempt follows a failed one, and log it if so."""
         progress = self.progress
-        admitted = progress.admitted_
-        route = admitted.route
+        match = progress.match_
+        route = match.route
         progress.may_have_run_ |= end is AttemptEnd.MAY_HAVE_RUN
         failed = FailedAttempt(
             end=end,
@@ -162,7 +162,7 @@
         decision = decide_retry(
             failed,
             has_other_endpoint=lambda: self.choose() is not None,
-            budget=self.state.budget(admitted.service.service_id),
+            budget=self.state.budget(match.service.service_id),
         )
         progress.retry_reason_ = decision.reason
         if decision.reason is RetryReason.ALLOWED:
@@ -186,13 +186,13 @@
             self.record_failure(attempt.record, EndpointFailure.ERROR_STATUS)
             return
         now = self.state.now()
-        attempt.record.note_success((now - attempt.began_at) * 1_000.0)
+        attempt.record.record_success((now - attempt.began_at) * 1_000.0)
 
     def record_failure(self, record: EndpointRecord, failure: EndpointFailure) -> None:
         """Record a failure of an endpoint, and log when it becomes suspect."""
         now = self.state.now()
         was_suspect = record.is_suspect(now)
-        record.note_failure(now, failure)
+        record.record_failure(now, failure)
         if record.is_suspect(now) and not was_suspect:
             self.state.log.report(
                 Event.ENDPOINT_EJECTED,
@@ -205,25 +205,27 @@
     def record_first_token(self, elapsed_s: float) -> None:
         """Record that an engine has read the prompt, and how long it took."""
         if self.sent_prompt_ is not None:
-            self.state.engines_.note_first_token(self.sent_prompt_, elapsed_s * 1_000.0)
+            self.state.engines_.record_first_token(
+                self.sent_prompt_, elapsed_s * 1_000.0
+            )
             self.record_prompt_read()
 
     def record_prompt_read(self) -> None:
         """Record that the engine has read the prompt, or that the attempt is over."""
         sent = self.sent_prompt_
         if sent is not None:
-            self.state.engines_.note_started(sent)
+            self.state.engines_.record_started(sent)
             self.sent_prompt_ = None
 
     def _count_begin(self, record: EndpointRecord) -> float:
         """Count an attempt that begins now, and return the moment."""
         self.progress.tried_.append(record.listed.endpoint_id)
-        self.inputs.note_attempt()
+        self.inputs.record_attempt()
         began_at = self.state.now()
         record.in_flight_ += 1
-        engine = self.progress.admitted_.service.engine
+        engine = self.progress.match_.service.engine
         if engine is not None:
-            self.sent_prompt_ = self.state.engines_.note_sent(
+            self.sent_prompt_ = self.state.engines_.record_sent(
                 record, self.progress.request.prompt, engine.memory_tokens
             )
         return began_at
@@ -232,22 +234,22 @@
         self, record: EndpointRecord, connection: EndpointConnection, limit_at: float
     ) -> LiveAnswer:
         request = self.progress.request
-        outbound = self.state.wire.forward(request, self._call(record))
+        outbound = self.state.codec.forward(request, self._call(record))
         self.inputs.release_soon(record)
         async with asyncio.timeout_at(limit_at):
             return await connection.begin(outbound, request.request_id)
 
     def _call(self, record: EndpointRecord) -> ForwardCall:
         progress = self.progress
-        admitted = progress.admitted_
+        match = progress.match_
         left_ms = (progress.deadline_ - self.state.now()) * 1_000.0
         priority = None
-        if admitted.service.engine is not None:
-            priority = min(PRIORITY_LOWEST, max(PRIORITY_HIGHEST, admitted.priority))
+        if match.service.engine is not None:
+            priority = min(PRIORITY_LOWEST, max(PRIORITY_HIGHEST, match.priority))
         return ForwardCall(
             expected_instance=record.listed.endpoint_id,
             remaining_ms=max(REMAINING_LEAST_MS, left_ms),
-            workspace=admitted.workspace_id,
+            workspace=match.workspace_id,
             priority=priority,
             inputs=self.inputs.handles(),
             last_event_id=progress.last_event_id_,
@@ -259,7 +261,7 @@
         head = attempt.answer.head
         record = attempt.record
         if head.load is not None:
-            record.note_load(head.load, self.state.now())
+            record.record_load(head.load, self.state.now())
         if head.is_encoded:
             self.release(attempt)
             raise ExchangeBroken(BreakKind.SPOILED, "encoded body")
@@ -273,8 +275,8 @@
         finally:
             self.release(attempt)
         if head.not_run is NotRunCause.REPLACED:
-            record.note_replaced()
-        has_stages = bool(self.progress.admitted_.route.stages)
+            record.record_replaced()
+        has_stages = bool(self.progress.match_.route.stages)
         raise NotRun(
             f"not run: {head.status}",
             inputs_gone=head.not_run is NotRunCause.INPUTS_GONE and has_stages,
--- a/packages/leadford-server/src/leadford_server/forwarding/_door.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_callers.py
@@ -8,7 +8,11 @@
 from tornado.http1connection import HTTP1Connection
 
 from leadford.forwarding.routes import TrafficLimits
-from leadford_server.forwarding._contract import HeaderList, InboundRequest, RequestWire
+from leadford_server.forwarding._contract import (
+    HeaderList,
+    InboundRequest,
+    RequestCodec,
+)
 
 # Seconds beyond the configured idle time before a connection is closed; not measured.
 REST_GRACE_S = 2.0
@@ -37,12 +41,12 @@
     """Tell that the caller closed its connection."""
 
 
-class Exchange(httputil.HTTPMessageDelegate):
+class CallerExchange(httputil.HTTPMessageDelegate):
     """Hold one request of a caller and its answer."""
 
-    def __init__(self, *, connection: HTTP1Connection, door: "Door") -> None:
+    def __init__(self, *, connection: HTTP1Connection, server: "CallerServer") -> None:
         self.connection = connection
-        self.door = door
+        self.server = server
         self.request_: InboundRequest | None = None
         self.chunks_: list[bytes] = []
         self.body_bytes_ = 0
@@ -53,60 +57,60 @@
     def headers_received(
         self, start_line: httputil.RequestStartLine, headers: httputil.HTTPHeaders
     ) -> None:
-        """Take in the head of the request."""
+        """Record the head of the request."""
         now = asyncio.get_running_loop().time()
-        self.request_ = self.door.wire.read_request(
+        self.request_ = self.server.codec.read_request(
             start_line.method, start_line.path, list(headers.get_all()), now
         )
-        limits = self.door.limits_
+        limits = self.server.limits_
         if _head_bytes(start_line, headers) > limits.header_bytes:
             self._deny(STATUS_HEAD_TOO_LARGE)
             return
         if _announced_bytes(headers) > limits.body_bytes:
             self._deny(STATUS_BODY_TOO_LARGE)
             return
-        self.door.exchanges_.add(self)
+        self.server.exchanges_.add(self)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take in a part of the body."""
+        """Record a part of the body."""
         self.body_bytes_ += len(chunk)
         if self.is_over_:
             return
-        if self.body_bytes_ > self.door.limits_.body_bytes:
+        if self.body_bytes_ > self.server.limits_.body_bytes:
             self.chunks_.clear()
-            self.door.exchanges_.discard(self)
+            self.server.exchanges_.discard(self)
             self._deny(STATUS_BODY_TOO_LARGE)
             return
         self.chunks_.append(chunk)
 
     def _deny(self, status: int) -> None:
         """Answer a request that is beyond the limits before it is whole."""
-        self.answer(status, self.door.wire.refusal(None))
-        self.door.report_denied(self, status)
+        self.answer(status, self.server.codec.refusal(None))
+        self.server.on_denied(self, status)
 
     def finish(self) -> None:
-        """Take in that the request is whole, and serve it."""
+        """Record that the request is whole, and serve it."""
         self.request_.body = b"".join(self.chunks_)
         self.chunks_.clear()
-        self.connection.set_close_callback(self._caller_left)
-        self.task_ = asyncio.ensure_future(self.door.serve(self))
-        self.task_.add_done_callback(self._served)
+        self.connection.set_close_callback(self._on_caller_left)
+        self.task_ = asyncio.ensure_future(self.server.serve(self))
+        self.task_.add_done_callback(self._on_served)
 
     def on_connection_close(self) -> None:
-        """Take in that the caller left before the request was whole."""
+        """Record that the caller left before the request was whole."""
         self.is_over_ = True
-        self.door.exchanges_.discard(self)
+        self.server.exchanges_.discard(self)
 
-    def _caller_left(self) -> None:
+    def _on_caller_left(self) -> None:
         if self.task_ is not None and not self.is_over_:
             self.task_.cancel()
 
-    def _served(self, task: asyncio.Task[None]) -> None:
-        self.door.exchanges_.discard(self)
+    def _on_served(self, task: asyncio.Task[None]) -> None:
+        self.server.exchanges_.discard(self)
         if not self.is_over_:
             self.abort()
         if not task.cancelled() and task.exception() is not None:
-            self.door.report_fault(self, task.exception())
+            self.server.on_fault(self, task.exception())
 
     def answer(
         self, status: int, headers: HeaderList, body: bytes = b"", reason: str = ""
@@ -148,7 +152,7 @@
             if lower in CONNECTION_HEADERS or lower == "content-length":
                 continue
             lines.add(name, value)
-        if self.door.is_draining():
+        if self.server.is_draining():
             lines["Connection"] = "close"
             self.connection.no_keep_alive = True
         return lines
@@ -163,11 +167,11 @@
 
     def _end(self) -> None:
         self.is_over_ = True
-        closes = self.door.is_draining()
+        closes = self.server.is_draining()
         self.connection.finish()
         if closes:
             # What has been written is still sent before the close.
-            self.door.close_soon(self.connection)
+            self.server.close_soon(self.connection)
 
 
 def _reason(status: int) -> str:
@@ -192,25 +196,25 @@
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
-class Door(httputil.HTTPServerConnectionDelegate):
+class CallerServer(httputil.HTTPServerConnectionDelegate):
     """Listen for callers."""
 
     def __init__(
         self,
         *,
-        wire: RequestWire,
-        serve: Callable[[Exchange], Coroutine[None, None, None]],
+        codec: RequestCodec,
+        serve: Callable[[CallerExchange], Coroutine[None, None, None]],
         is_draining: Callable[[], bool],
-        report_fault: Callable[[Exchange, BaseException], None],
-        report_denied: Callable[[Exchange, int], None],
+        on_fault: Callable[[CallerExchange, BaseException], None],
+        on_denied: Callable[[CallerExchange, int], None],
     ) -> None:
-        self.wire = wire
+        self.codec = codec
         self.serve = serve
         self.is_draining = is_draining
-        self.report_fault = report_fault
-        self.report_denied = report_denied
+        self.on_fault = on_fault
+        self.on_denied = on_denied
         self.limits_ = TrafficLimits()
-        self.exchanges_: set[Exchange] = set()
+        self.exchanges_: set[CallerExchange] = set()
         self.server_: httpserver.HTTPServer | None = None
 
     def start(self, host: str, port: int) -> None:
@@ -233,12 +237,12 @@
 
     def start_request(
         self, server_conn: object, request_conn: HTTP1Connection
-    ) -> Exchange:
+    ) -> CallerExchange:
         """Return what takes the next request of a connection."""
-        return Exchange(connection=request_conn, door=self)
+        return CallerExchange(connection=request_conn, server=self)
 
     def on_close(self, server_conn: object) -> None:
-        """Take in that a connection ended."""
+        """Record that a connection ended."""
 
     def close_soon(self, connection: HTTP1Connection) -> None:
         """Close a connection once what was written is on its way."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_calls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_calls.py
@@ -82,10 +82,10 @@
             ):
                 return await self._exchange(call)
         except ExchangeBroken as error:
-            record.note_failure(self.state.now(), EndpointFailure.LOST)
+            record.record_failure(self.state.now(), EndpointFailure.LOST)
             return CallEnd(None, str(error))
         except TimeoutError:
-            record.note_failure(self.state.now(), EndpointFailure.SILENT)
+            record.record_failure(self.state.now(), EndpointFailure.SILENT)
             return CallEnd(None, PieceFailure.SILENT.value)
 
     async def _exchange(self, call: PieceCall) -> CallEnd:
@@ -93,7 +93,7 @@
         record = call.record
         connection = await state.pool_.acquire(record, call.service.connections_max)
         try:
-            outbound = state.wire.piece_call(
+            outbound = state.codec.piece_call(
                 call.tasks, record.listed.endpoint_id, state.now()
             )
             body, head = await connection.fetch(outbound)
@@ -101,22 +101,22 @@
             state.pool_.release(record, connection)
         now = state.now()
         if head.load is not None:
-            record.note_load(head.load, now)
+            record.record_load(head.load, now)
         if head.not_run is NotRunCause.REPLACED:
-            record.note_replaced()
+            record.record_replaced()
             return CallEnd(None, PieceFailure.REPLACED.value)
         if head.is_not_run:
             return CallEnd(None, PieceFailure.FULL.value)
         if head.status != STATUS_OK:
-            record.note_failure(now, EndpointFailure.ERROR_STATUS)
+            record.record_failure(now, EndpointFailure.ERROR_STATUS)
             return CallEnd(None, f"status {head.status}")
-        read = state.wire.read_pieces(body)
+        read = state.codec.read_pieces(body)
         if isinstance(read, Failure) or len(read.unwrap()) != len(call.tasks):
-            record.note_failure(now, EndpointFailure.SPOILED)
+            record.record_failure(now, EndpointFailure.SPOILED)
             return CallEnd(None, CALL_SPOILED)
         elapsed_ms = (now - call.began_at) * 1_000.0
         expected_ms = call.limits.duration_ms(len(call.tasks))
-        record.note_success(elapsed_ms, elapsed_ms / expected_ms)
+        record.record_success(elapsed_ms, elapsed_ms / expected_ms)
         return CallEnd(read.unwrap(), CALL_DONE)
 
     def log(self, call: PieceCall, end: CallEnd, *, waiting: int) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_connection.py
@@ -12,14 +12,14 @@
 from leadford_server.forwarding._contract import (
     AnswerHead,
     OutboundRequest,
-    RequestWire,
+    RequestCodec,
 )
 
 # Bytes that an answer of an endpoint, and its head, may have; not measured.
 ANSWER_BYTES_MAX = 64 * 1024 * 1024
 HEADER_BYTES_MAX = 64 * 1024
 # Answers of earlier requests that are skipped on a connection; not measured.
-STRAY_ANSWERS_MAX = 2
+UNMATCHED_ANSWERS_MAX = 2
 # Milliseconds after which the kernel gives up a peer that acknowledges nothing; not
 # measured.
 SILENCE_MS = 2_500
@@ -42,7 +42,7 @@
         self.detail = detail
 
 
-class CountingStream(IOStream):
+class WatchedStream(IOStream):
     """Notice bytes that arrive while no answer is due."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -65,8 +65,8 @@
 class AnswerReader(httputil.HTTPMessageDelegate):
     """Collect one answer as it arrives."""
 
-    def __init__(self, *, wire: RequestWire) -> None:
-        self.wire = wire
+    def __init__(self, *, codec: RequestCodec) -> None:
+        self.codec = codec
         self.head_: AnswerHead | None = None
         self.chunks_: list[bytes] = []
         self.is_complete_ = False
@@ -77,27 +77,27 @@
     def headers_received(
         self, start_line: httputil.ResponseStartLine, headers: httputil.HTTPHeaders
     ) -> None:
-        """Take in the head; interim answers are skipped."""
+        """Record the head; interim answers are skipped."""
         if start_line.code < 200:
             return
         self.is_framed_ = "Content-Length" in headers or "Transfer-Encoding" in headers
-        self.head_ = self.wire.read_answer(
+        self.head_ = self.codec.read_answer(
             start_line.code, start_line.reason, list(headers.get_all())
         )
         self.changed_.set()
 
     def data_received(self, chunk: bytes) -> None:
-        """Take in a part of the body."""
+        """Record a part of the body."""
         self.chunks_.append(chunk)
         self.changed_.set()
 
     def finish(self) -> None:
-        """Take in that the answer is whole as far as its framing tells."""
+        """Record that the answer is whole as far as its framing tells."""
         self.is_complete_ = True
         self.changed_.set()
 
     def on_connection_close(self) -> None:
-        """Take in that the connection ended inside the answer."""
+        """Record that the connection ended inside the answer."""
         self.is_broken_ = True
         self.changed_.set()
 
@@ -138,16 +138,16 @@
 class EndpointConnection:
     """Hold one connection to an endpoint; it carries one exchange at a time."""
 
-    def __init__(self, *, stream: CountingStream, wire: RequestWire) -> None:
+    def __init__(self, *, stream: WatchedStream, codec: RequestCodec) -> None:
         self.stream = stream
-        self.wire = wire
+        self.codec = codec
         self.rest_s_: float | None = None
         self.idle_since_ = 0.0
         self.answer_: LiveAnswer | None = None
 
     @classmethod
     async def open(
-        cls, host: str, port: int, wire: RequestWire, timeout_s: float
+        cls, host: str, port: int, codec: RequestCodec, timeout_s: float
     ) -> "EndpointConnection":
         """Connect within a time; raises ExchangeBroken with NOT_SENT."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -158,7 +158,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
-        stream = CountingStream(sock)
+        stream = WatchedStream(sock)
         try:
             await asyncio.wait_for(stream.connect((host, port)), timeout_s)
         except (TimeoutError, iostream.StreamClosedError, OSError) as error:
@@ -169,7 +169,7 @@
         except BaseException:
             stream.close()
             raise
-        return cls(stream=stream, wire=wire)
+        return cls(stream=stream, codec=codec)
 
     @property
     def is_usable(self) -> bool:
@@ -187,7 +187,7 @@
         """
         self.stream.is_idle_ = False
         exchange = self._send(request)
-        for _ in range(STRAY_ANSWERS_MAX + 1):
+        for _ in range(UNMATCHED_ANSWERS_MAX + 1):
             answer = await self._read_head(exchange)
             found = answer.head.request_id
             strange = found is not None and request_id is not None
@@ -225,7 +225,7 @@
         return exchange
 
     async def _read_head(self, exchange: http1connection.HTTP1Connection) -> LiveAnswer:
-        reader = AnswerReader(wire=self.wire)
+        reader = AnswerReader(codec=self.codec)
         reading = asyncio.ensure_future(self._read(exchange, reader))
         try:
             while reader.head_ is None and not reading.done():
--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -152,7 +152,7 @@
     revision: int
 
 
-class RequestWire(Protocol):
+class RequestCodec(Protocol):
     """Read and write the messages between callers, entries and endpoints."""
 
     ready_path: str
@@ -182,10 +182,10 @@
     def free_call(
         self, handles: list[ResultHandle], instance: EndpointId
     ) -> OutboundRequest:
-        """Return the call that gives results up."""
+        """Return the call that release results."""
 
 
-class ObjectWire(Protocol):
+class ObjectCodec(Protocol):
     """Name and read the objects of the platform's store."""
 
     config_kind: str
--- a/packages/leadford-server/src/leadford_server/forwarding/_events.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_events.py
@@ -15,14 +15,14 @@
     event_id: int | None
 
 
-class EventCutter:
+class EventStreamSplitter:
     """Return events once they are whole; what is torn stays inside."""
 
     def __init__(self) -> None:
         self.buffer_ = bytearray()
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take in bytes and return the events that they complete."""
+        """Record bytes and return the events that they complete."""
         self.buffer_ += data
         events = []
         while True:
--- a/packages/leadford-server/src/leadford_server/forwarding/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_follow.py
@@ -9,7 +9,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
 from leadford.events import Event
-from leadford_server.forwarding._contract import ObjectEvent, ObjectWire
+from leadford_server.forwarding._contract import ObjectCodec, ObjectEvent
 from leadford_server.logs import EventLog
 from leadford_server.metrics import STORE_CALLS_TOTAL
 from leadford_server.web import fetch
@@ -36,11 +36,11 @@
     """Call the platform's store and tell when it stops and starts to answer."""
 
     def __init__(
-        self, *, url: str, http: AsyncHTTPClient, wire: ObjectWire, log: EventLog
+        self, *, url: str, http: AsyncHTTPClient, codec: ObjectCodec, log: EventLog
     ) -> None:
         self.url = url
         self.http = http
-        self.wire = wire
+        self.codec = codec
         self.log = log
         self.is_available_ = True
 
@@ -91,8 +91,8 @@
 class KindFollower:
     """Keep what is known of one kind up to date.
 
-    `take_list` gets a whole listing, `take_event` each change after it, and
-    `confirm` is called whenever the store has said that nothing is missing.
+    `on_list` gets a whole listing, `on_event` each change after it, and
+    `on_confirmed` is called whenever the store has said that nothing is missing.
     """
 
     def __init__(
@@ -101,16 +101,16 @@
         kind: str,
         client: ObjectsClient,
         random: Random,
-        take_list: Callable[[Listing], None],
-        take_event: Callable[[ObjectEvent], None],
-        confirm: Callable[[int], None],
+        on_list: Callable[[Listing], None],
+        on_event: Callable[[ObjectEvent], None],
+        on_confirmed: Callable[[int], None],
     ) -> None:
         self.kind = kind
         self.client = client
         self.random = random
-        self.take_list = take_list
-        self.take_event = take_event
-        self.confirm = confirm
+        self.on_list = on_list
+        self.on_event = on_event
+        self.on_confirmed = on_confirmed
         self.revision_: int | None = None
         self.margin_s_ = WATCH_MARGIN_S
 
@@ -126,15 +126,15 @@
             wait_s = min(RETRY_MAX_S, wait_s * 2.0)
 
     async def _list(self) -> bool:
-        wire = self.client.wire
+        codec = self.client.codec
         items: list[dict] = []
         after: str | None = None
         revision: int | None = None
         while True:
-            read = await self.client.call(wire.list_path(self.kind, after))
+            read = await self.client.call(codec.list_path(self.kind, after))
             if isinstance(read, Failure):
                 return False
-            page = wire.read_list(read.unwrap())
+            page = codec.read_list(read.unwrap())
             if isinstance(page, Failure):
                 return False
             page = page.unwrap()
@@ -144,14 +144,14 @@
             after = page.next_name
             if after is None:
                 break
-        self.take_list(Listing(items, revision))
+        self.on_list(Listing(items, revision))
         self.revision_ = revision
-        self.confirm(revision)
+        self.on_confirmed(revision)
         return True
 
     async def _watch(self) -> bool:
-        wire = self.client.wire
-        path = wire.watch_path(self.kind, self.revision_, WATCH_MS)
+        codec = self.client.codec
+        path = codec.watch_path(self.kind, self.revision_, WATCH_MS)
         # A watch that hears nothing is given up soon; a slow store gets more time.
         read = await self.client.call(
             path, wait_s=WATCH_MS / 1_000.0, margin_s=self.margin_s_
@@ -163,13 +163,13 @@
                 return True
             return False
         self.margin_s_ = WATCH_MARGIN_S
-        seen = wire.read_events(read.unwrap())
+        seen = codec.read_events(read.unwrap())
         if isinstance(seen, Failure):
             self.revision_ = None
             return False
         seen = seen.unwrap()
         for event in seen.events:
-            self.take_event(event)
+            self.on_event(event)
         self.revision_ = max(self.revision_, seen.revision)
-        self.confirm(self.revision_)
+        self.on_confirmed(self.revision_)
         return True
--- a/packages/leadford-server/src/leadford_server/forwarding/_free.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_free.py
@@ -63,7 +63,7 @@
     ) -> None:
         endpoint_id = record.listed.endpoint_id
         state = self.state
-        outbound = state.wire.free_call(handles, endpoint_id)
+        outbound = state.codec.free_call(handles, endpoint_id)
         try:
             async with asyncio.timeout(FREE_TIMEOUT_S):
                 connection = await state.pool_.acquire(record, service.connections_max)
--- a/packages/leadford-server/src/leadford_server/forwarding/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_groups.py
@@ -146,4 +146,4 @@
             load = GroupLoad(
                 self.scheduler.wait_s(group), self.scheduler.room_bytes(group), now
             )
-            self.loads_.note_load(group, load)
+            self.loads_.record_load(group, load)
--- a/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
@@ -15,7 +15,7 @@
     stages_end_in_time,
 )
 from leadford.forwarding.endpoints import EndpointRecord
-from leadford.forwarding.routes import Admitted, ResultHandle, ServiceId
+from leadford.forwarding.routes import ResultHandle, RouteMatch, ServiceId
 from leadford_server.forwarding._contract import InboundRequest
 from leadford_server.forwarding._jobs import StageFailure, StageJob
 from leadford_server.forwarding._stages import StageRunner
@@ -36,11 +36,11 @@
         self.done_at_: float | None = None
         self.attempts_begun_ = 0
 
-    def capacities(self, admitted: Admitted) -> dict[ServiceId, StageCapacity]:
+    def capacities(self, match: RouteMatch) -> dict[ServiceId, StageCapacity]:
         """Return what the stages of the route can use now."""
         found: dict[ServiceId, StageCapacity] = {}
         now = self.state.now()
-        for stage in admitted.route.stages:
+        for stage in match.route.stages:
             service = self.state.service(stage.service_id)
             if service is None or service.pieces is None:
                 continue
@@ -49,12 +49,12 @@
             found[stage.service_id] = StageCapacity(service.pieces, len(trusted))
         return found
 
-    def open(self, admitted: Admitted, deadline: float) -> Result[None, str]:
+    def open(self, match: RouteMatch, deadline: float) -> Result[None, str]:
         """Begin a job for the stages of the route, unless there is one."""
         if self.job_ is not None:
             return Success(None)
         request = self.request
-        route = admitted.route
+        route = match.route
         graph = PieceGraph.from_counts(route.stages, request.piece_counts or ())
         if isinstance(graph, Failure):
             return graph
@@ -63,23 +63,23 @@
             graph=graph.unwrap(),
             private_key=request.piece_key,
             is_urgent=route.is_urgent,
-            delay_s=queue_delay_s(route, admitted.priority),
+            delay_s=queue_delay_s(route, match.priority),
             deadline=deadline,
             due_at=request.received_at + route.aim_ms / 1_000.0,
-            hall=self._planned_hall(admitted),
+            hall=self._planned_hall(match),
             done=self.state.loop.create_future(),
         )
         self.stages.open(self.job_)
         return Success(None)
 
-    def _planned_hall(self, admitted: Admitted) -> HallId:
+    def _planned_hall(self, match: RouteMatch) -> HallId:
         """Return the hall of the engine that would be chosen now."""
         state = self.state
         record = state.engines_.choose(
-            state.usable(admitted.service.service_id),
+            state.usable(match.service.service_id),
             self.request.prompt,
             extra_ms_by_hall=self.stages.groups.wait_ms_by_hall(
-                admitted.route.stages, self.request.piece_counts
+                match.route.stages, self.request.piece_counts
             ),
             now=state.now(),
         )
@@ -113,7 +113,7 @@
             return False
         return True
 
-    def note_attempt(self) -> None:
+    def record_attempt(self) -> None:
         """Count an attempt that begins; it may need the inputs."""
         self.attempts_begun_ += 1
 
@@ -126,7 +126,7 @@
         return self.stages.bytes_by_hall(self.job_) if self.job_ is not None else {}
 
     def release_soon(self, record: EndpointRecord) -> None:
-        """Give the inputs up once an engine without a queue has surely fetched them."""
+        """Release the inputs once an engine without a queue has surely fetched them."""
         if self.job_ is None or not engine_fetches_at_once(record, self.state.now()):
             return
         self.state.loop.call_later(
@@ -134,7 +134,7 @@
         )
 
     def _release_unless_needed(self, attempt: int) -> None:
-        """Give the inputs up unless another attempt has begun since.
+        """Release the inputs unless another attempt has begun since.
 
         Attempts are counted as they begin: a remade one is another attempt.
         """
@@ -142,7 +142,7 @@
             self.stages.release(self.job_)
 
     def release(self) -> None:
-        """Give the inputs up: they have been read, and can be made again."""
+        """Release the inputs: they have been read, and can be made again."""
         if self.job_ is not None:
             self.stages.release(self.job_)
 
@@ -151,6 +151,6 @@
         self.stages.restart(self.job_)
 
     def close(self) -> None:
-        """Drop what waits and give every result up."""
+        """Drop what waits and release every result."""
         if self.job_ is not None:
             self.stages.close(self.job_)
--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -77,17 +77,17 @@
         state: ForwardState,
         stages: StageRunner,
         random: Random,
-        take_config: Callable[[ForwardConfig], None],
-        take_listing: Callable[[list[ListedEndpoint], int], None],
-        take_entries: Callable[[list[KnownEntry]], None],
+        on_config: Callable[[ForwardConfig], None],
+        on_listing: Callable[[list[ListedEndpoint], int], None],
+        on_entries: Callable[[list[KnownEntry]], None],
     ) -> None:
         self.entry_id = entry_id
         self.state = state
         self.stages = stages
         self.random = random
-        self.take_config = take_config
-        self.take_listing = take_listing
-        self.take_entries = take_entries
+        self.on_config = on_config
+        self.on_listing = on_listing
+        self.on_entries = on_entries
         self.identity = Identity(entry_id, "entry", state.hall, secret)
         self.entries_by_id_: dict[EntryId, KnownEntry] = {}
         self.dialers_by_id_: dict[EntryId, Dialer] = {}
@@ -125,12 +125,12 @@
         """Send heartbeats and keep links up until cancelled."""
         while True:
             self._dial()
-            self._beat()
+            self._send_heartbeats()
             self.stages.sent.check()
             await asyncio.sleep(HEARTBEAT_S * self.random.uniform(0.9, 1.1))
 
-    def know(self, entries: dict[EntryId, KnownEntry]) -> None:
-        """Take in which entries exist."""
+    def set_known_entries(self, entries: dict[EntryId, KnownEntry]) -> None:
+        """Record which entries exist."""
         self.entries_by_id_ = dict(entries)
         self.entries_by_id_.pop(self.entry_id, None)
 
@@ -138,7 +138,7 @@
         table = self.state.table_
         return table.config.version if table is not None else 0
 
-    def _wanted(self) -> set[EntryId]:
+    def _wanted_peers(self) -> set[EntryId]:
         """Return the entries to hold links to."""
         halls = {entry.entry_id: entry.hall for entry in self.entries_by_id_.values()}
         halls[self.entry_id] = self.state.hall
@@ -164,7 +164,7 @@
         return found
 
     def _dial(self) -> None:
-        wanted = self._wanted()
+        wanted = self._wanted_peers()
         for entry_id in set(self.dialers_by_id_) - wanted:
             dialer = self.dialers_by_id_.pop(entry_id)
             asyncio.ensure_future(dialer.stop())
@@ -184,7 +184,7 @@
             dialer.start()
             self.dialers_by_id_[entry_id] = dialer
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         now = self.state.now()
         groups = [
             GroupReport(
@@ -305,16 +305,16 @@
             self.stages.scheduler_.release(answer.endpoint_id, [answer.handle])
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Take in that a connection stands."""
+        """Record that a connection stands."""
         entry_id = EntryId(peer.info.peer_id)
         self.peers_by_id_[entry_id] = peer
         self.heard_at_by_id_[entry_id] = self.state.now()
         self.state.log.report(Event.PEER_CONNECTED, peer=entry_id)
         # Before the configuration: budgets are shared by the entries that are known.
-        self._give_entries(peer)
+        self._send_entries(peer)
         peer.announce_version()
 
-    def _give_entries(self, peer: PeerConnection) -> None:
+    def _send_entries(self, peer: PeerConnection) -> None:
         own = EntryAddress(self.entry_id, self.address_, self.state.hall)
         known = [
             EntryAddress(entry.entry_id, entry.address, entry.hall)
@@ -322,8 +322,8 @@
         ]
         peer.send(EntryListing([own, *known]))
 
-    def _take_entries(self, peer: PeerConnection, message: EntryListing) -> None:
-        self.take_entries(
+    def _on_entries(self, peer: PeerConnection, message: EntryListing) -> None:
+        self.on_entries(
             [
                 KnownEntry(EntryId(entry.entry_id), entry.address, HallId(entry.hall))
                 for entry in message.entries
@@ -331,7 +331,7 @@
         )
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """Take in that a connection ended."""
+        """Record that a connection ended."""
         entry_id = EntryId(peer.info.peer_id)
         if self.peers_by_id_.get(entry_id) is not peer:
             return
@@ -342,10 +342,10 @@
         self.stages.backlog_.forget(entry_id)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
-        """Take in which configuration runs at a peer."""
+        """Record which configuration runs at a peer."""
 
     def peer_message(self, peer: PeerConnection, message: Message) -> None:
-        """Take in one message."""
+        """Handle one message."""
         entry_id = EntryId(peer.info.peer_id)
         self.heard_at_by_id_[entry_id] = self.state.now()
         if self.peers_by_id_.get(entry_id) is None:
@@ -354,7 +354,7 @@
         if handler is not None:
             handler(self, peer, message)
 
-    def _take_heartbeat(self, peer: PeerConnection, message: EntryHeartbeat) -> None:
+    def _on_heartbeat(self, peer: PeerConnection, message: EntryHeartbeat) -> None:
         now = self.state.now()
         entry_id = EntryId(peer.info.peer_id)
         if message.is_draining:
@@ -364,12 +364,12 @@
         for report in message.groups:
             group = GroupId(ServiceId(report.service_id), PlaceId(report.place))
             load = GroupLoad(report.wait_ms / 1_000.0, report.room_bytes, now)
-            self.stages.groups.loads_.note_load(group, load)
+            self.stages.groups.loads_.record_load(group, load)
         counts = {
             BacklogKey(ServiceId(report.service_id), report.is_urgent): report.pieces
             for report in message.commitments
         }
-        self.stages.backlog_.note_heard(entry_id, counts, now)
+        self.stages.backlog_.record_heard(entry_id, counts, now)
         for report in message.refused:
             reservation = RetryReservation(
                 report.fingerprint,
@@ -377,17 +377,17 @@
                 report.is_urgent,
                 {ServiceId(name): count for name, count in report.pieces.items()},
             )
-            self.state.reservations_.note(reservation, is_own=False)
+            self.state.reservations_.record(reservation, is_own=False)
         uses = [
             CapacityUse(
                 EndpointId(report.endpoint_id), report.result_bytes, report.calls
             )
             for report in message.lanes
         ]
-        self.stages.scheduler_.capacities_.note_foreign(entry_id, uses, now)
-        self._compare(peer, message, now)
+        self.stages.scheduler_.capacities_.record_foreign(entry_id, uses, now)
+        self._ask_if_behind(peer, message, now)
 
-    def _compare(
+    def _ask_if_behind(
         self, peer: PeerConnection, message: EntryHeartbeat, now: float
     ) -> None:
         """Ask a peer that has known better for a while."""
@@ -403,7 +403,7 @@
                 peer.send(ListingRequest(revision))
                 self.listing_behind_since_ = None
 
-    def _take_submit(self, peer: PeerConnection, message: PieceSubmit) -> None:
+    def _on_submit(self, peer: PeerConnection, message: PieceSubmit) -> None:
         now = self.state.now()
         task = PieceTask(
             correlation_id=message.correlation_id,
@@ -425,7 +425,7 @@
         group = GroupId(ServiceId(message.service_id), PlaceId(message.place))
         self.stages.scheduler_.submit(group, task)
 
-    def _take_answer(self, peer: PeerConnection, message: PieceAnswer) -> None:
+    def _on_answer(self, peer: PeerConnection, message: PieceAnswer) -> None:
         answer = PieceResult(
             ResultHandle(message.handle) if message.handle else None,
             message.reason,
@@ -435,38 +435,38 @@
             EntryId(peer.info.peer_id), message.correlation_id, answer
         )
 
-    def _take_working(self, peer: PeerConnection, message: PieceWorking) -> None:
+    def _on_inputs_read(self, peer: PeerConnection, message: PieceWorking) -> None:
         self.stages.on_working(EntryId(peer.info.peer_id), message.correlation_ids)
 
-    def _take_cancel(self, peer: PeerConnection, message: PieceCancel) -> None:
+    def _on_cancel(self, peer: PeerConnection, message: PieceCancel) -> None:
         origin = EntryId(peer.info.peer_id)
         self.stages.scheduler_.cancel(origin, set(message.correlation_ids))
 
-    def _take_release(self, peer: PeerConnection, message: PieceRelease) -> None:
+    def _on_release(self, peer: PeerConnection, message: PieceRelease) -> None:
         handles = [ResultHandle(handle) for handle in message.handles]
         self.stages.scheduler_.release(EndpointId(message.endpoint_id), handles)
 
-    def _give_config(self, peer: PeerConnection, message: ForwardConfigRequest) -> None:
+    def _send_config(self, peer: PeerConnection, message: ForwardConfigRequest) -> None:
         table = self.state.table_
         if table is not None and table.config.version > message.known_version:
             data = msgspec.msgpack.encode(table.config)
             peer.send(ForwardConfigAnswer(table.config.version, data))
 
-    def _take_config(self, peer: PeerConnection, message: ForwardConfigAnswer) -> None:
+    def _on_config(self, peer: PeerConnection, message: ForwardConfigAnswer) -> None:
         try:
             config = msgspec.msgpack.decode(message.config, type=ForwardConfig)
         except msgspec.DecodeError as error:
             self.state.log.report(Event.CONFIG_UNREADABLE, error=str(error)[:200])
             return
-        self.take_config(config)
+        self.on_config(config)
 
-    def _give_listing(self, peer: PeerConnection, message: ListingRequest) -> None:
+    def _send_listing(self, peer: PeerConnection, message: ListingRequest) -> None:
         roster = self.state.roster_
         if roster.changed_revision_ > message.known_revision:
             data = msgspec.msgpack.encode(roster.listed())
             peer.send(ListingAnswer(roster.changed_revision_, data))
 
-    def _take_listing(self, peer: PeerConnection, message: ListingAnswer) -> None:
+    def _on_listing(self, peer: PeerConnection, message: ListingAnswer) -> None:
         try:
             listed = msgspec.msgpack.decode(
                 message.endpoints, type=list[ListedEndpoint]
@@ -474,19 +474,19 @@
         except msgspec.DecodeError as error:
             self.state.log.report(Event.CONFIG_UNREADABLE, error=str(error)[:200])
             return
-        self.take_listing(listed, message.revision)
+        self.on_listing(listed, message.revision)
 
 
 _HANDLERS = {
-    EntryHeartbeat: EntryLinks._take_heartbeat,
-    PieceSubmit: EntryLinks._take_submit,
-    PieceAnswer: EntryLinks._take_answer,
-    EntryListing: EntryLinks._take_entries,
-    PieceWorking: EntryLinks._take_working,
-    PieceCancel: EntryLinks._take_cancel,
-    PieceRelease: EntryLinks._take_release,
-    ForwardConfigRequest: EntryLinks._give_config,
-    ForwardConfigAnswer: EntryLinks._take_config,
-    ListingRequest: EntryLinks._give_listing,
-    ListingAnswer: EntryLinks._take_listing,
+    EntryHeartbeat: EntryLinks._on_heartbeat,
+    PieceSubmit: EntryLinks._on_submit,
+    PieceAnswer: EntryLinks._on_answer,
+    EntryListing: EntryLinks._on_entries,
+    PieceWorking: EntryLinks._on_inputs_read,
+    PieceCancel: EntryLinks._on_cancel,
+    PieceRelease: EntryLinks._on_release,
+    ForwardConfigRequest: EntryLinks._send_config,
+    ForwardConfigAnswer: EntryLinks._on_config,
+    ListingRequest: EntryLinks._send_listing,
+    ListingAnswer: EntryLinks._on_listing,
 }
--- a/packages/leadford-server/src/leadford_server/forwarding/_plain.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_plain.py
@@ -69,12 +69,12 @@
 
     def _limit_at(self) -> float:
         """Return until when the next attempt of a plain request is waited for."""
-        admitted = self.progress.admitted_
+        match = self.progress.match_
         timing = AttemptTiming(
             len(self.progress.tried_) + 1, self.state.now(), self.progress.deadline_
         )
-        usual = usual_s(self.state.usable(admitted.service.service_id))
-        return plain_limit_at(admitted.route, timing, usual)
+        usual = usual_s(self.state.usable(match.service.service_id))
+        return plain_limit_at(match.route, timing, usual)
 
     async def _wait_whole(self, attempt: Attempt, limit_at: float) -> None:
         """Wait for the end of an answer and give the connection back.
--- a/packages/leadford-server/src/leadford_server/forwarding/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pool.py
@@ -8,9 +8,11 @@
 from leadford_server.forwarding._connection import (
     EndpointConnection,
 )
-from leadford_server.forwarding._contract import RequestWire
+from leadford_server.forwarding._contract import RequestCodec
 from leadford_server.metrics import CONNECTIONS_OPENED_TOTAL
 
+# Part of an endpoint's bound that all entries together hold at most; not measured.
+CONNECTIONS_PART = 0.95
 # Seconds that a connection may take; not measured.
 CONNECT_S = 0.35
 # Seconds that a connection rests where the endpoint says nothing; not measured.
@@ -20,7 +22,7 @@
 REST_MARGIN_S = 0.6
 
 
-class _Line:
+class _EndpointConnections:
     """Hold the connections of one endpoint."""
 
     def __init__(self, address: EndpointAddress) -> None:
@@ -33,81 +35,87 @@
 class ConnectionPool:
     """Lend connections; each endpoint's bound is split evenly over the entries."""
 
-    def __init__(self, *, wire: RequestWire, loop: asyncio.AbstractEventLoop) -> None:
-        self.wire = wire
+    def __init__(self, *, codec: RequestCodec, loop: asyncio.AbstractEventLoop) -> None:
+        self.codec = codec
         self.loop = loop
-        self.lines_by_id_: dict[EndpointId, _Line] = {}
-        self.sharers_ = 1
+        self.connections_by_id_: dict[EndpointId, _EndpointConnections] = {}
+        self.entry_count_ = 1
 
     def allowance(self, connections_max: int) -> int:
         """Return how many connections this entry may hold to one endpoint."""
-        return max(1, int(connections_max * 0.95) // max(1, self.sharers_))
+        bound = int(connections_max * CONNECTIONS_PART)
+        return max(1, bound // max(1, self.entry_count_))
 
     async def acquire(
         self, record: EndpointRecord, connections_max: int
     ) -> EndpointConnection:
         """Return a connection; raises ExchangeBroken with NOT_SENT."""
         listed = record.listed
-        line = self.lines_by_id_.get(listed.endpoint_id)
-        if line is None:
-            line = self.lines_by_id_[listed.endpoint_id] = _Line(listed.address)
+        connections = self.connections_by_id_.get(listed.endpoint_id)
+        if connections is None:
+            connections = _EndpointConnections(listed.address)
+            self.connections_by_id_[listed.endpoint_id] = connections
         while True:
-            kept = self._take_idle(line)
+            kept = self._take_idle(connections)
             if kept is not None:
                 return kept
-            if line.open_ < self.allowance(connections_max):
-                return await self._open(line)
+            if connections.open_ < self.allowance(connections_max):
+                return await self._open(connections)
             waiter = self.loop.create_future()
-            line.waiters_.append(waiter)
+            connections.waiters_.append(waiter)
             await waiter
 
-    def _take_idle(self, line: _Line) -> EndpointConnection | None:
+    def _take_idle(
+        self, connections: _EndpointConnections
+    ) -> EndpointConnection | None:
         now = self.loop.time()
-        while line.idle_:
+        while connections.idle_:
             # The one used last is the least likely to have been closed.
-            connection = line.idle_.pop()
+            connection = connections.idle_.pop()
             if _is_fresh(connection, now) and connection.is_usable:
                 connection.stream.set_close_callback(None)
                 return connection
-            self._drop(line, connection)
+            self._drop(connections, connection)
         return None
 
-    async def _open(self, line: _Line) -> EndpointConnection:
-        host, _, port = line.address.rpartition(":")
-        line.open_ += 1
+    async def _open(self, connections: _EndpointConnections) -> EndpointConnection:
+        host, _, port = connections.address.rpartition(":")
+        connections.open_ += 1
         try:
             connection = await EndpointConnection.open(
-                host, int(port), self.wire, CONNECT_S
+                host, int(port), self.codec, CONNECT_S
             )
         except BaseException:
-            line.open_ -= 1
-            self._wake(line)
+            connections.open_ -= 1
+            self._wake(connections)
             raise
         CONNECTIONS_OPENED_TOTAL.inc()
         return connection
 
     def release(self, record: EndpointRecord, connection: EndpointConnection) -> None:
         """Give a connection back, kept if it may carry another exchange."""
-        line = self.lines_by_id_.get(record.listed.endpoint_id)
-        if line is None:
+        connections = self.connections_by_id_.get(record.listed.endpoint_id)
+        if connections is None:
             connection.settle()
             connection.close()
             return
         if connection.settle():
             connection.rest(self.loop.time())
-            line.idle_.append(connection)
-            self._wake(line)
+            connections.idle_.append(connection)
+            self._wake(connections)
             return
-        self._drop(line, connection)
+        self._drop(connections, connection)
 
-    def _drop(self, line: _Line, connection: EndpointConnection) -> None:
+    def _drop(
+        self, connections: _EndpointConnections, connection: EndpointConnection
+    ) -> None:
         connection.close()
-        line.open_ -= 1
-        self._wake(line)
+        connections.open_ -= 1
+        self._wake(connections)
 
-    def _wake(self, line: _Line) -> None:
-        while line.waiters_:
-            waiter = line.waiters_.popleft()
+    def _wake(self, connections: _EndpointConnections) -> None:
+        while connections.waiters_:
+            waiter = connections.waiters_.popleft()
             if not waiter.done():
                 waiter.set_result(None)
                 return
@@ -115,18 +123,22 @@
     def sweep(self, known_ids: set[EndpointId]) -> None:
         """Close what has rested too long, and what leads to endpoints that left."""
         now = self.loop.time()
-        for endpoint_id, line in list(self.lines_by_id_.items()):
+        for endpoint_id, connections in list(self.connections_by_id_.items()):
             kept = []
-            for connection in line.idle_:
+            for connection in connections.idle_:
                 is_good = _is_fresh(connection, now) and connection.is_usable
                 if is_good and endpoint_id in known_ids:
                     kept.append(connection)
                     continue
                 connection.close()
-                line.open_ -= 1
-            line.idle_ = kept
-            if endpoint_id not in known_ids and line.open_ <= 0 and not line.waiters_:
-                del self.lines_by_id_[endpoint_id]
+                connections.open_ -= 1
+            connections.idle_ = kept
+            if (
+                endpoint_id not in known_ids
+                and connections.open_ <= 0
+                and not connections.waiters_
+            ):
+                del self.connections_by_id_[endpoint_id]
 
 
 def _is_fresh(connection: EndpointConnection, now: float) -> bool:
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -16,13 +16,13 @@
 from leadford.forwarding.batching import RegionMap
 from leadford.forwarding.endpoints import ListedEndpoint
 from leadford.forwarding.routes import ForwardConfig, RouteTable
+from leadford_server.forwarding._callers import CallerExchange, CallerServer
 from leadford_server.forwarding._contract import (
     KnownEntry,
+    ObjectCodec,
     ObjectEvent,
-    ObjectWire,
-    RequestWire,
+    RequestCodec,
 )
-from leadford_server.forwarding._door import Door, Exchange
 from leadford_server.forwarding._follow import (
     STATUS_CONFLICT,
     KindFollower,
@@ -84,13 +84,13 @@
         self,
         *,
         settings: ForwardSettings,
-        wire: RequestWire,
-        objects: ObjectWire,
+        codec: RequestCodec,
+        objects: ObjectCodec,
         reload: Callable[[], Result[ForwardSettings, str]],
         random: Random | None = None,
     ) -> None:
         self.settings = settings
-        self.wire = wire
+        self.codec = codec
         self.objects = objects
         self.reload = reload
         self.random = random or SystemRandom()
@@ -104,7 +104,7 @@
         """Listen and begin to follow the store."""
         settings = self.settings
         self.state_ = ForwardState(
-            wire=self.wire,
+            codec=self.codec,
             hall=settings.hall,
             bounds=settings.bounds,
             random=self.random,
@@ -124,24 +124,24 @@
             state=self.state_,
             stages=self.stages_,
             random=self.random,
-            take_config=self._apply_config,
-            take_listing=self._apply_listing,
-            take_entries=self._learn_entries,
+            on_config=self._apply_config,
+            on_listing=self._apply_listing,
+            on_entries=self._learn_entries,
         )
         self.stages_.connect(self.links_)
-        self.door_ = Door(
-            wire=self.wire,
+        self.caller_server_ = CallerServer(
+            codec=self.codec,
             serve=self._serve,
             is_draining=lambda: self.is_draining_,
-            report_fault=self._report_fault,
-            report_denied=self._report_denied,
+            on_fault=self._on_fault,
+            on_denied=self._on_denied,
         )
-        self.door_.start(settings.callers.host, settings.callers.port)
+        self.caller_server_.start(settings.callers.host, settings.callers.port)
         self._listen_ready()
         await self.links_.start(settings.peers)
         http = CurlAsyncHTTPClient(force_instance=True, max_clients=STORE_CLIENTS)
         self.client_ = ObjectsClient(
-            url=settings.store_url, http=http, wire=self.objects, log=self.log_
+            url=settings.store_url, http=http, codec=self.objects, log=self.log_
         )
         self._follow()
         self.log_.report(
@@ -151,7 +151,7 @@
     def _listen_ready(self) -> None:
         application = web.Application(
             [
-                (self.wire.ready_path, _ReadyHandler, {"process": self}),
+                (self.codec.ready_path, _ReadyHandler, {"process": self}),
                 ("/metrics", MetricsHandler),
             ],
             log_function=lambda handler: None,
@@ -166,29 +166,29 @@
     def _follow(self) -> None:
         handlers = {
             self.objects.config_kind: (
-                self._take_configs,
-                self._take_config_event,
-                self._confirm_config,
+                self._on_configs,
+                self._on_config_event,
+                self._on_config_confirmed,
             ),
             self.objects.endpoints_kind: (
-                self._take_endpoints,
-                self._take_endpoint_event,
+                self._on_endpoints,
+                self._on_endpoint_event,
                 lambda revision: None,
             ),
             self.objects.entries_kind: (
-                self._take_entries,
-                self._take_entry_event,
+                self._on_entries,
+                self._on_entry_event,
                 lambda revision: None,
             ),
         }
-        for kind, (take_list, take_event, confirm) in handlers.items():
+        for kind, (on_list, on_event, on_confirmed) in handlers.items():
             follower = KindFollower(
                 kind=kind,
                 client=self.client_,
                 random=self.random,
-                take_list=take_list,
-                take_event=take_event,
-                confirm=confirm,
+                on_list=on_list,
+                on_event=on_event,
+                on_confirmed=on_confirmed,
             )
             self.tasks_.append(asyncio.create_task(follower.run()))
         self.tasks_.append(asyncio.create_task(self.links_.run()))
@@ -201,7 +201,7 @@
         has_config = self.state_.table_ is not None
         return has_config and not self.is_draining_
 
-    async def _serve(self, exchange: Exchange) -> None:
+    async def _serve(self, exchange: CallerExchange) -> None:
         forwarder = RequestForwarder(
             exchange=exchange,
             state=self.state_,
@@ -210,7 +210,7 @@
         )
         await forwarder.serve()
 
-    def _report_fault(self, exchange: Exchange, error: BaseException) -> None:
+    def _on_fault(self, exchange: CallerExchange, error: BaseException) -> None:
         request = exchange.request_
         self.log_.report(
             Event.REQUEST_UNKNOWN,
@@ -218,7 +218,7 @@
             error=f"{type(error).__name__}: {error}"[:300],
         )
 
-    def _report_denied(self, exchange: Exchange, status: int) -> None:
+    def _on_denied(self, exchange: CallerExchange, status: int) -> None:
         self.log_.report(
             Event.FORWARD_ENDED,
             request=exchange.request_.request_id,
@@ -227,15 +227,15 @@
             detail="beyond the limits of the configuration",
         )
 
-    def _take_configs(self, listing: Listing) -> None:
+    def _on_configs(self, listing: Listing) -> None:
         for item in listing.items:
-            self._take_config(item)
+            self._on_config(item)
 
-    def _take_config_event(self, event: ObjectEvent) -> None:
+    def _on_config_event(self, event: ObjectEvent) -> None:
         if not event.is_gone:
-            self._take_config(event.item)
+            self._on_config(event.item)
 
-    def _take_config(self, item: dict) -> None:
+    def _on_config(self, item: dict) -> None:
         if self.objects.object_name(item) != self.objects.config_name:
             return
         read = self.objects.read_config(item)
@@ -250,7 +250,7 @@
         if table is not None and config.version <= table.config.version:
             return
         self.state_.table_ = RouteTable.from_config(config)
-        self.door_.apply_limits(config.limits)
+        self.caller_server_.apply_limits(config.limits)
         self.log_.report(
             Event.CONFIG_IN_FORCE,
             version=config.version,
@@ -259,11 +259,11 @@
         )
         self.stages_.scheduler_.wake()
 
-    def _confirm_config(self, revision: int) -> None:
+    def _on_config_confirmed(self, revision: int) -> None:
         if self.state_.table_ is not None:
             self.state_.config_seen_at_ = self.state_.now()
 
-    def _take_endpoints(self, listing: Listing) -> None:
+    def _on_endpoints(self, listing: Listing) -> None:
         endpoints = []
         for item in listing.items:
             read = self.objects.read_endpoint(item)
@@ -274,11 +274,11 @@
         self._apply_listing(endpoints, listing.revision)
 
     def _apply_listing(self, endpoints: list[ListedEndpoint], revision: int) -> None:
-        self._note_changes(
+        self._log_changes(
             self.state_.roster_.replace(endpoints, revision, self.state_.now())
         )
 
-    def _take_endpoint_event(self, event: ObjectEvent) -> None:
+    def _on_endpoint_event(self, event: ObjectEvent) -> None:
         roster = self.state_.roster_
         if event.is_gone:
             name = self.objects.object_name(event.item)
@@ -289,15 +289,15 @@
                 self.state_.now(),
                 seen_revision=event.seen_revision,
             )
-            self._note_changes(changes)
+            self._log_changes(changes)
             return
         read = self.objects.read_endpoint(event.item)
         if isinstance(read, Failure):
             self.log_.report(Event.CONFIG_UNREADABLE, error=read.failure()[:300])
             return
-        self._note_changes(roster.put(read.unwrap()))
+        self._log_changes(roster.put(read.unwrap()))
 
-    def _note_changes(self, changes: list) -> None:
+    def _log_changes(self, changes: list) -> None:
         for change in changes:
             self.log_.report(
                 Event.ENDPOINT_LISTED,
@@ -310,21 +310,21 @@
         if changes:
             self.stages_.scheduler_.wake()
 
-    def _take_entries(self, listing: Listing) -> None:
+    def _on_entries(self, listing: Listing) -> None:
         self.has_listed_entries_ = True
         self.entries_by_id_.clear()
         for item in listing.items:
-            self._take_entry(item)
+            self._on_entry(item)
         self._count_entries()
 
-    def _take_entry_event(self, event: ObjectEvent) -> None:
+    def _on_entry_event(self, event: ObjectEvent) -> None:
         if event.is_gone:
             self.entries_by_id_.pop(self.objects.object_name(event.item), None)
         else:
-            self._take_entry(event.item)
+            self._on_entry(event.item)
         self._count_entries()
 
-    def _take_entry(self, item: dict) -> None:
+    def _on_entry(self, item: dict) -> None:
         read = self.objects.read_entry(item)
         if isinstance(read, Failure):
             return
@@ -341,8 +341,8 @@
 
     def _count_entries(self) -> None:
         known = set(self.entries_by_id_) | {self.settings.entry_id}
-        self.state_.set_sharers(len(known))
-        self.links_.know(self.entries_by_id_)
+        self.state_.set_entry_count(len(known))
+        self.links_.set_known_entries(self.entries_by_id_)
 
     async def _announce(self) -> None:
         """Write down in the store that this entry exists."""
@@ -381,27 +381,31 @@
         began_at = loop.time()
         self.is_draining_ = True
         self.links_.is_draining_ = True
-        self.state_.note_stop()
-        self.log_.report(Event.PROCESS_DRAINING, live=len(self.door_.exchanges_))
+        self.state_.record_stop()
+        self.log_.report(
+            Event.PROCESS_DRAINING, live=len(self.caller_server_.exchanges_)
+        )
         ends_at = began_at + self.settings.bounds.grace_s - DRAIN_MARGIN_S
         while loop.time() < ends_at:
             await asyncio.sleep(DRAIN_POLL_S)
             waited = loop.time() - began_at >= DRAIN_MIN_S
-            if waited and not self.door_.exchanges_:
+            if waited and not self.caller_server_.exchanges_:
                 break
-        await self._withdraw()
-        self.log_.report(Event.PROCESS_STOPPED, live=len(self.door_.exchanges_))
+        await self._retract()
+        self.log_.report(
+            Event.PROCESS_STOPPED, live=len(self.caller_server_.exchanges_)
+        )
         await self.stop()
 
     async def stop(self) -> None:
         """Stop at once, whatever runs."""
-        self.door_.stop_listening()
+        self.caller_server_.stop_listening()
         self.ready_server_.stop()
         for task in self.tasks_:
             task.cancel()
         self.links_.stop()
 
-    async def _withdraw(self) -> None:
+    async def _retract(self) -> None:
         path = self.objects.object_path(
             self.objects.entries_kind, self.settings.entry_id
         )
--- a/packages/leadford-server/src/leadford_server/forwarding/_progress.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_progress.py
@@ -10,7 +10,7 @@
 from leadford.events import Event
 from leadford.forwarding.answers import EndReason, RequestOutcome
 from leadford.forwarding.retries import RetryReason
-from leadford.forwarding.routes import Admitted
+from leadford.forwarding.routes import RouteMatch
 from leadford_server.forwarding._contract import InboundRequest
 from leadford_server.logs import EventLog
 from leadford_server.metrics import FORWARD_SECONDS, FORWARDED_TOTAL
@@ -41,7 +41,7 @@
 
     def __init__(self, *, request: InboundRequest) -> None:
         self.request = request
-        self.admitted_: Admitted | None = None
+        self.match_: RouteMatch | None = None
         self.deadline_ = 0.0
         self.expected_s_ = 0.0
         self.input_remakes_ = 0
@@ -74,11 +74,11 @@
 ) -> None:
     """Count and log how a request ended."""
     request = progress.request
-    admitted = progress.admitted_
+    match = progress.match_
     end = progress.end_
     first = progress.first_byte_at_
     retry_reason = progress.retry_reason_
-    kind = admitted.route.kind.value if admitted else "none"
+    kind = match.route.kind.value if match else "none"
     FORWARDED_TOTAL.labels(kind=kind, end=end.outcome.value).inc()
     if first is not None:
         FORWARD_SECONDS.labels(kind=kind).observe(first - request.received_at)
@@ -86,9 +86,9 @@
     log.report(
         Event.FORWARD_ENDED,
         request=request.request_id,
-        route=admitted.route.route_id if admitted else "",
-        version=admitted.version if admitted else 0,
-        workspace=(admitted.workspace_id or "") if admitted else "",
+        route=match.route.route_id if match else "",
+        version=match.version if match else 0,
+        workspace=(match.workspace_id or "") if match else "",
         fingerprint=request.fingerprint,
         endpoints=",".join(progress.tried_),
         status=end.status,
--- a/packages/leadford-server/src/leadford_server/forwarding/_relay.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_relay.py
@@ -10,7 +10,7 @@
 from leadford.forwarding.retries import AttemptTiming, silence_limit_at
 from leadford_server.forwarding._answer import CallerAnswer
 from leadford_server.forwarding._attempts import Attempt, EndpointAttempts
-from leadford_server.forwarding._events import EventCutter, StreamEvent
+from leadford_server.forwarding._events import EventStreamSplitter, StreamEvent
 from leadford_server.forwarding._progress import RequestProgress
 from leadford_server.forwarding._state import ForwardState
 
@@ -38,7 +38,7 @@
         """
         timing = AttemptTiming(attempt, self.state.now(), self.progress.deadline_)
         return silence_limit_at(
-            self.progress.admitted_.route,
+            self.progress.match_.route,
             timing,
             has_begun=self.answer.has_begun,
         )
@@ -48,7 +48,7 @@
 
         Errors: raises TimeoutError when the time of the request is over.
         """
-        cutter = EventCutter()
+        splitter = EventStreamSplitter()
         while True:
             try:
                 async with asyncio.timeout_at(self.limit_at(len(self.progress.tried_))):
@@ -58,11 +58,11 @@
                     raise
                 # Nobody waits for it here any more: the stream goes on elsewhere.
                 return False
-            for event in cutter.feed(data):
+            for event in splitter.feed(data):
                 await self._pass_on(attempt, event)
-            if data and not cutter.is_overfull:
+            if data and not splitter.is_overfull:
                 continue
-            return attempt.answer.reader.is_complete_ and not cutter.is_torn
+            return attempt.answer.reader.is_complete_ and not splitter.is_torn
 
     async def _pass_on(self, attempt: Attempt, event: StreamEvent) -> None:
         last = self.progress.last_event_id_
--- a/packages/leadford-server/src/leadford_server/forwarding/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_request.py
@@ -21,15 +21,15 @@
 )
 from leadford.forwarding.retries import answer_due_at, request_deadline
 from leadford.forwarding.routes import (
-    Admitted,
     LookupError,
     RouteKind,
+    RouteMatch,
     StartDenial,
     decide_start,
 )
 from leadford_server.forwarding._answer import CallerAnswer
 from leadford_server.forwarding._attempts import EndpointAttempts
-from leadford_server.forwarding._door import CallerGone, Exchange
+from leadford_server.forwarding._callers import CallerExchange, CallerGone
 from leadford_server.forwarding._inputs import RequestInputs
 from leadford_server.forwarding._jobs import StageFailure
 from leadford_server.forwarding._plain import PlainForwarder
@@ -55,7 +55,7 @@
     def __init__(
         self,
         *,
-        exchange: Exchange,
+        exchange: CallerExchange,
         state: ForwardState,
         stages: StageRunner,
         admission: ForwardAdmission,
@@ -109,7 +109,7 @@
                 request.host, request.path, request.key, self.state.random
             )
         if isinstance(found, Success):
-            self.progress.admitted_ = found.unwrap()
+            self.progress.match_ = found.unwrap()
         start = decide_start(found, self.state.age())
         if isinstance(start, Failure):
             self._deny_start(start.failure(), found)
@@ -117,7 +117,7 @@
         return True
 
     def _deny_start(
-        self, denial: StartDenial, found: Result[Admitted, LookupError] | None
+        self, denial: StartDenial, found: Result[RouteMatch, LookupError] | None
     ) -> None:
         """End a request that does not begin."""
         detail = DETAIL_BY_DENIAL[denial]
@@ -131,12 +131,12 @@
     async def _serve_in_time(self) -> None:
         """Serve a request that begins, and end it in time in any case."""
         progress = self.progress
-        admitted = progress.admitted_
-        route = admitted.route
+        match = progress.match_
+        route = match.route
         progress.deadline_ = request_deadline(
             route, self.request.deadline_ms, self.request.received_at
         )
-        self.state.budget(admitted.service.service_id).note_request(self.state.now())
+        self.state.budget(match.service.service_id).record_request(self.state.now())
         if route.stages and not self._admit():
             return
         try:
@@ -154,8 +154,8 @@
         """Ask admission about a request with stages; return whether it begins."""
         request = self.request
         progress = self.progress
-        admitted = progress.admitted_
-        route = admitted.route
+        match = progress.match_
+        route = match.route
         now = self.state.now()
         counts = request.piece_counts or ()
         if len(counts) != len(route.stages):
@@ -167,10 +167,10 @@
             AdmissionRequest(
                 route,
                 counts,
-                self.inputs.capacities(admitted),
-                priority=admitted.priority,
+                self.inputs.capacities(match),
+                priority=match.priority,
                 fingerprint=request.fingerprint,
-                engine_s=self.state.engine_s(admitted.service.service_id).value_,
+                engine_s=self.state.engine_s(match.service.service_id).value_,
                 elapsed_s=now - request.received_at,
                 allowed_s=progress.deadline_ - request.received_at,
                 now=now,
@@ -187,7 +187,7 @@
 
     async def _make_inputs(self) -> bool:
         """Run the stages; return whether the request itself can go on."""
-        opened = self.inputs.open(self.progress.admitted_, self.progress.deadline_)
+        opened = self.inputs.open(self.progress.match_, self.progress.deadline_)
         if isinstance(opened, Failure):
             self.answer.end(EndReason.MALFORMED, opened.failure())
             return False
--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -234,9 +234,9 @@
         call.record.in_flight_ += 1
         self._spawn(self._run_call(call))
         if is_idle:
-            self.state.loop.call_later(CALL_INPUTS_READ_S, self._note_working, call)
+            self.state.loop.call_later(CALL_INPUTS_READ_S, self._tell_inputs_read, call)
 
-    def _note_working(self, call: PieceCall) -> None:
+    def _tell_inputs_read(self, call: PieceCall) -> None:
         """Tell that the inputs of a call are fetched, unless it is over."""
         readers = [task for task in call.tasks if task.inputs]
         if readers and not call.is_over:
@@ -296,7 +296,7 @@
         pairs = list(zip(call.tasks, end.outcomes, strict=True))
         if any(outcome.reason == no_room for outcome in end.outcomes):
             fitted = sum(task.result_bytes for task, item in pairs if item.handle)
-            capacity.note_refused(call.room_bytes, fitted, now)
+            capacity.record_refused(call.room_bytes, fitted, now)
         for task, outcome in pairs:
             PIECES_TOTAL.labels(end=outcome.reason or PIECE_DONE).inc()
             if outcome.reason == no_room:
--- a/packages/leadford-server/src/leadford_server/forwarding/_sent.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_sent.py
@@ -58,7 +58,7 @@
         sent.overdue_at = scheduler_limit_at(limits, wait_s, now)
         self.sent_by_id_[sent.task.correlation_id] = sent
         sent.job.correlation_ids_.add(sent.task.correlation_id)
-        self.groups.loads_.note_sent(sent.group)
+        self.groups.loads_.record_sent(sent.group)
         if sent.scheduler_id != self.entry_id:
             if self.links.submit(sent.scheduler_id, sent.group, sent.task):
                 return
--- a/packages/leadford-server/src/leadford_server/forwarding/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stages.py
@@ -88,7 +88,7 @@
         await job.done_
 
     def close(self, job: StageJob) -> None:
-        """End a job: drop what waits and give all its results up."""
+        """End a job: drop what waits and release all its results."""
         if job.is_over_:
             return
         job.is_over_ = True
@@ -98,7 +98,7 @@
         self.release(job)
 
     def release(self, job: StageJob) -> None:
-        """Give up every result of a job; they can be made again."""
+        """Release every result of a job; they can be made again."""
         self.results.release(job.graph.take_all())
 
     def restart(self, job: StageJob) -> None:
@@ -129,7 +129,7 @@
             return
         keys_by_stage: dict[int, list[PieceKey]] = {}
         for key in job.graph.ready():
-            job.graph.note_queued(key)
+            job.graph.record_queued(key)
             keys_by_stage.setdefault(key.stage, []).append(key)
         for stage, keys in keys_by_stage.items():
             self._send_stage(job, stage, keys)
@@ -223,13 +223,13 @@
                 self.links.send_inputs_read(origin, correlation_ids)
 
     def on_working(self, scheduler_id: EntryId, correlation_ids: list[int]) -> None:
-        """Give results up that all readers have fetched."""
+        """Release results that all readers have fetched."""
         jobs: dict[int, StageJob] = {}
         for correlation_id in correlation_ids:
             sent = self.sent.awaited(scheduler_id, correlation_id)
             if sent is None or sent.job.is_over_:
                 continue
-            sent.job.graph.note_working(sent.task.key)
+            sent.job.graph.record_working(sent.task.key)
             jobs[id(sent.job)] = sent.job
         for job in jobs.values():
             self.results.release(job.graph.take_unread())
@@ -237,7 +237,7 @@
     def on_answer(
         self, scheduler_id: EntryId, correlation_id: int, answer: PieceResult
     ) -> None:
-        """Take in what became of a piece."""
+        """Record what became of a piece."""
         sent = self.sent.awaited(scheduler_id, correlation_id)
         if sent is None:
             # Made for nobody: cancelled, overdue, or of an earlier process.
@@ -261,7 +261,7 @@
             self.results.release([answer.handle])
             return
         self._leave_backlog(job, sent.task.key)
-        job.graph.note_done(sent.task.key, answer.handle)
+        job.graph.record_done(sent.task.key, answer.handle)
         self._advance(job)
 
     def _not_made(self, sent: SentPiece, answer: PieceResult) -> None:
@@ -293,11 +293,11 @@
             keeper=sent.scheduler_id,
             reason=answer.reason[:REASON_LOGGED],
         )
-        job.graph.note_failed(key)
+        job.graph.record_failed(key)
         if decision.action is RemakeAction.REMAKE_LATER:
             # The scheduler's listing differs from ours: give both a moment to agree.
             now = self.state.now()
-            self.groups.loads_.note_load(sent.group, GroupLoad(float("inf"), 0, now))
+            self.groups.loads_.record_load(sent.group, GroupLoad(float("inf"), 0, now))
             self.state.loop.call_later(NO_ENDPOINT_WAIT_S, self._advance, job)
             return
         self._advance(job)
@@ -314,7 +314,7 @@
         record = self.state.roster_.record(answer.endpoint_id)
         now = self.state.now()
         if record is not None and not record.is_suspect(now):
-            record.note_failure(now, EndpointFailure.LOST)
+            record.record_failure(now, EndpointFailure.LOST)
 
     def _release_elsewhere(
         self,
--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -16,7 +16,7 @@
 )
 from leadford.forwarding.retries import WindowedRetryBudget
 from leadford.forwarding.routes import ProcessAge, RouteTable, Service, ServiceId
-from leadford_server.forwarding._contract import RequestWire
+from leadford_server.forwarding._contract import RequestCodec
 from leadford_server.forwarding._pool import ConnectionPool
 from leadford_server.logs import EventLog
 
@@ -48,7 +48,7 @@
     def __init__(
         self,
         *,
-        wire: RequestWire,
+        codec: RequestCodec,
         hall: HallId,
         bounds: ForwardBounds,
         random: Random,
@@ -56,7 +56,7 @@
         log: EventLog,
         regions: RegionMap | None = None,
     ) -> None:
-        self.wire = wire
+        self.codec = codec
         self.regions = regions or RegionMap()
         self.hall = hall
         self.bounds = bounds
@@ -67,10 +67,10 @@
         self.roster_ = EndpointRoster(trusted_s=GONE_TRUSTED_PART * bounds.drain_s)
         self.chooser_ = EndpointChooser(hall=hall, random=random)
         self.engines_ = EngineChooser(hall=hall)
-        self.pool_ = ConnectionPool(wire=wire, loop=loop)
+        self.pool_ = ConnectionPool(codec=codec, loop=loop)
         self.budgets_by_service_: dict[ServiceId, WindowedRetryBudget] = {}
         self.groups_by_service_: dict[ServiceId, tuple[int, dict[HallId, GroupId]]] = {}
-        self.sharers_ = 1
+        self.entry_count_ = 1
         self.reservations_ = RetryReservations()
         self.engine_s_by_service_: dict[ServiceId, Ewma] = {}
         self.config_seen_at_: float | None = None
@@ -128,7 +128,7 @@
                 slack=self.bounds.retry_slack,
                 window_s=self.bounds.retry_window_s,
             )
-            budget.sharers_ = self.sharers_
+            budget.entry_count_ = self.entry_count_
             self.budgets_by_service_[service_id] = budget
         return budget
 
@@ -143,8 +143,8 @@
             self.engine_s_by_service_[service_id] = estimate
         return estimate
 
-    def note_stop(self) -> None:
-        """Take in that a planned stop begins now."""
+    def record_stop(self) -> None:
+        """Record that a planned stop begins now."""
         self.stop_began_at_ = self.now()
 
     def age(self) -> ProcessAge:
@@ -158,9 +158,9 @@
             grace_s=self.bounds.grace_s,
         )
 
-    def set_sharers(self, count: int) -> None:
+    def set_entry_count(self, count: int) -> None:
         """Split the fleet's bounds over so many entries."""
-        self.sharers_ = max(1, count)
-        self.pool_.sharers_ = self.sharers_
+        self.entry_count_ = max(1, count)
+        self.pool_.entry_count_ = self.entry_count_
         for budget in self.budgets_by_service_.values():
-            budget.sharers_ = self.sharers_
+            budget.entry_count_ = self.entry_count_
--- a/packages/leadford-server/src/leadford_server/forwarding/_stream.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stream.py
@@ -88,7 +88,7 @@
         if not self.attempts.ask_retry(AttemptEnd.MAY_HAVE_RUN, detail).retry:
             self.answer.end(EndReason.ATTEMPTS_FAILED, detail)
             return False
-        if self.progress.admitted_.route.stages:
+        if self.progress.match_.route.stages:
             return await self.make_inputs()
         return True
 
--- a/packages/leadford-server/src/leadford_server/forwarding/tests/test_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/tests/test_connection.py
@@ -200,8 +200,8 @@
     async def scenario():
         async with Endpoint(*[answer()] * 8) as endpoint:
             loop = asyncio.get_running_loop()
-            pool = ConnectionPool(wire=PlatformRequests(), loop=loop)
-            pool.sharers_ = 3
+            pool = ConnectionPool(codec=PlatformRequests(), loop=loop)
+            pool.entry_count_ = 3
             record = record_at(endpoint.port)
             first = await pool.acquire(record, 7)
             second = await pool.acquire(record, 7)
@@ -214,7 +214,7 @@
             pool.release(record, second)
             assert endpoint.connections == 2
             pool.sweep(set())
-            assert pool.lines_by_id_["e"].open_ == 1
+            assert pool.connections_by_id_["e"].open_ == 1
 
     run(scenario())
 
@@ -224,7 +224,7 @@
         rests = answer(extra="Keep-Alive: timeout=1\r\n")
         async with Endpoint(rests, answer(), answer()) as endpoint:
             loop = asyncio.get_running_loop()
-            pool = ConnectionPool(wire=PlatformRequests(), loop=loop)
+            pool = ConnectionPool(codec=PlatformRequests(), loop=loop)
             record = record_at(endpoint.port)
             first = await pool.acquire(record, 9)
             await first.fetch(REQUEST, ID)
--- a/packages/leadford-server/src/leadford_server/forwarding/tests/test_events.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/tests/test_events.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, strategies as st
 
-from leadford_server.forwarding._events import EventCutter
+from leadford_server.forwarding._events import EventStreamSplitter
 
 EVENTS = [b"id: 1\ndata: a\n\n", b"id: 2\r\ndata: b\r\n\r\n", b"data: no id\n\n"]
 
@@ -10,26 +10,26 @@
 @given(st.lists(st.integers(1, 7), max_size=40))
 def test_events_come_whole_however_bytes_arrive(sizes):
     data = b"".join(EVENTS)
-    cutter = EventCutter()
+    splitter = EventStreamSplitter()
     found = []
     while data:
         size = sizes.pop() if sizes else len(data)
-        found += cutter.feed(data[:size])
+        found += splitter.feed(data[:size])
         data = data[size:]
     assert [event.data for event in found] == EVENTS
     assert [event.event_id for event in found] == [1, 2, None]
-    assert not cutter.is_torn
+    assert not splitter.is_torn
 
 
 def test_an_unfinished_event_is_not_passed():
-    cutter = EventCutter()
-    assert cutter.feed(b"id: 1\ndata: a") == []
-    assert cutter.is_torn
-    assert len(cutter.feed(b"\n\n")) == 1
-    assert not cutter.is_torn
+    splitter = EventStreamSplitter()
+    assert splitter.feed(b"id: 1\ndata: a") == []
+    assert splitter.is_torn
+    assert len(splitter.feed(b"\n\n")) == 1
+    assert not splitter.is_torn
 
 
 def test_an_endless_event_is_noticed():
-    cutter = EventCutter()
-    cutter.feed(b"x" * (1024 * 1024 + 1))
-    assert cutter.is_overfull
+    splitter = EventStreamSplitter()
+    splitter.feed(b"x" * (1024 * 1024 + 1))
+    assert splitter.is_overfull
--- a/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
@@ -161,7 +161,7 @@
     async def _start(self, settings: ForwardSettings) -> ForwardProcess:
         entry = ForwardProcess(
             settings=settings,
-            wire=PlatformRequests(),
+            codec=PlatformRequests(),
             objects=PlatformObjects(),
             reload=lambda: Success(settings),
             random=Random(self.random.random()),
--- a/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
@@ -85,7 +85,7 @@
 
     async def serve(self, handler: "_EndpointHandler") -> None:
         """Run one request."""
-        handler.note_run()
+        handler.record_run()
         await asyncio.sleep(self.work_s)
         body = f"{self.endpoint_id} {handler.request.path}".encode()
         handler.finish(body + b" " + handler.request.body)
@@ -154,7 +154,7 @@
         if is_gone or not all(_is_held(handle, self.makers) for handle in handles):
             handler.refuse(409)
             return
-        handler.note_run()
+        handler.record_run()
         self.kept_.read(_prompt_parts(request.headers.get("X-Prefix-Hash", "")))
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         handler.set_header("Content-Type", "text/event-stream")
@@ -209,7 +209,7 @@
         self.calls_: list[int] = []
 
     async def serve(self, handler: "_EndpointHandler") -> None:
-        """Run one call or give results up."""
+        """Run one call or release results."""
         body = json.loads(handler.request.body)
         if handler.request.path.endswith("stage-free"):
             given_up = self.results_ & set(body["kvHandles"])
@@ -275,16 +275,16 @@
             self.refuse(503)
             return
         if self.misbehaviour is Misbehaviour.FAIL:
-            self.note_run()
+            self.record_run()
             self.set_status(500)
             self.finish(b"failed")
             return
         if self.misbehaviour is Misbehaviour.LOSE_ANSWER:
-            self.note_run()
+            self.record_run()
             self.drop()
             return
         if self.misbehaviour is Misbehaviour.HANG:
-            self.note_run()
+            self.record_run()
             await asyncio.sleep(3_600)
         if self.misbehaviour is Misbehaviour.OTHER_ANSWER:
             self.set_header("X-Attempt-Id", "somebody-else")
@@ -292,7 +292,7 @@
 
     get = post = put = delete = _any
 
-    def note_run(self) -> None:
+    def record_run(self) -> None:
         """Write down that the request ran."""
         request = self.request
         headers = dict(request.headers.get_all())
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
@@ -465,7 +465,7 @@
             entry = await deployment.restart_entry(number)
             assert not entry.is_ready
             await deployment.until(lambda entry=entry: entry.is_ready)
-            assert entry.state_.sharers_ == 3
+            assert entry.state_.entry_count_ == 3
             answer = await deployment.send("/safe/x", request_id="a", entry=number)
             assert answer.code == 200
 
@@ -529,9 +529,9 @@
             deployment.send("/resumed/x", request_id="r1", deadline_ms=20_000)
         )
         await deployment.until(lambda: any(e.runs_ for e in deployment.engines))
-        reader = deployment.entries_[0].door_.exchanges_
+        reader = deployment.entries_[0].caller_server_.exchanges_
         for exchange in list(reader):
-            exchange._caller_left()
+            exchange._on_caller_left()
         await deployment.until(lambda: any(e.left_early_ for e in deployment.engines))
         sent.cancel()
         assert deployment.entries_[0].stages_.sent_by_id_ == {}
@@ -621,7 +621,7 @@
         deployment.config["limits"] = {"maxHeaderBytes": 2_000, "maxBodyBytes": 1_000}
         deployment.put_config()
         entry = deployment.entries_[0]
-        await deployment.until(lambda: entry.door_.limits_.body_bytes == 1_000)
+        await deployment.until(lambda: entry.caller_server_.limits_.body_bytes == 1_000)
         long_head = {"X-Filler": "f" * 2_500}
         answer = await deployment.send("/safe/x", request_id="r1", headers=long_head)
         assert answer.code == 431
@@ -632,7 +632,7 @@
         chunked = head + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 2
         assert b" 413 " in await exchange_bytes(entry, chunked)
         assert runs_of(deployment.plain, "r2") == []
-        assert entry.door_.exchanges_ == set()
+        assert entry.caller_server_.exchanges_ == set()
         whole = await deployment.send("/unsafe/x", request_id="r3", body=b"b" * 1_000)
         assert whole.code == 200
 
--- a/packages/leadford/src/leadford/forwarding/admission/_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_decision.py
@@ -12,7 +12,7 @@
   answered within its aim.
 - Neither goes beyond a part of the time that the caller gave.
 
-What the caller is told stands in `leadford.forwarding.answers`; the order of admitted
+What the caller is told stands in `leadford.forwarding.answers`; the order of match
 work in `leadford.forwarding.batching`. Admission of the own interface
 (`leadford.pipelines.admission`) is another rule: it compares predicted finishes of
 single endpoints with deadlines, and knows neither batches nor returns.
@@ -62,8 +62,8 @@
 JITTER = 0.15
 # Part of the aim that a forecast may be corrected by, and the weight of the newest
 # error; commit 33a2606, neither was measured.
-BIAS_PART = 0.6
-BIAS_WEIGHT = 0.15
+ERROR_MOST_PART = 0.6
+ERROR_WEIGHT = 0.15
 
 
 class Verdict(Enum):
@@ -128,13 +128,13 @@
         self.backlog = backlog
         self.reservations = reservations
         self.random = random
-        self.bias_by_route_: dict[RouteId, Ewma] = {}
+        self.error_by_route_: dict[RouteId, Ewma] = {}
 
     def decide(self, request: AdmissionRequest) -> AdmissionDecision:
         """Return the verdict, and remember who is told to come back."""
         is_return = self.reservations.is_return(request.fingerprint, request.now)
         if is_return:
-            self.reservations.note_returned(request.fingerprint, request.now)
+            self.reservations.record_returned(request.fingerprint, request.now)
         forecast = StageForecast(
             route=request.route,
             counts=request.counts,
@@ -142,9 +142,9 @@
         )
         path_s = forecast.path_s()
         delay = forecast.delay(self.backlog, self.reservations, request.now)
-        bias_s = self._bias(request.route).value_
+        error_s = self._forecast_error(request.route).value_
         expected_s = (
-            request.elapsed_s + path_s + delay.now_s + request.engine_s + bias_s
+            request.elapsed_s + path_s + delay.now_s + request.engine_s + error_s
         )
         if is_return:
             limit_s = _return_limit_s(request)
@@ -161,22 +161,23 @@
             request.route.is_urgent,
             forecast.pieces_by_service(),
         )
-        self.reservations.note(reservation, is_own=True)
+        self.reservations.record(reservation, is_own=True)
         return AdmissionDecision(Verdict.REFUSE, expected_s, wait_s, is_return)
 
-    def note_answered(self, route: Route, expected_s: float, actual_s: float) -> None:
+    def record_answered(self, route: Route, expected_s: float, actual_s: float) -> None:
         """Learn from the time that a request took against what was expected."""
-        bias = self._bias(route)
-        error_s = actual_s - (expected_s - bias.value_)
+        known = self._forecast_error(route)
+        error_s = actual_s - (expected_s - known.value_)
         aim_s = route.aim_ms / 1_000.0
-        bias.update(min(max(error_s, 0.0), BIAS_PART * aim_s))
-
-    def _bias(self, route: Route) -> Ewma:
-        bias = self.bias_by_route_.get(route.route_id)
-        if bias is None:
-            bias = Ewma(initial=0.0, weight=BIAS_WEIGHT)
-            self.bias_by_route_[route.route_id] = bias
-        return bias
+        known.update(min(max(error_s, 0.0), ERROR_MOST_PART * aim_s))
+
+    def _forecast_error(self, route: Route) -> Ewma:
+        """Return by how many seconds forecasts for a route were too short lately."""
+        error = self.error_by_route_.get(route.route_id)
+        if error is None:
+            error = Ewma(initial=0.0, weight=ERROR_WEIGHT)
+            self.error_by_route_[route.route_id] = error
+        return error
 
     def _retry_after_s(
         self, request: AdmissionRequest, path_s: float, behind_s: float
--- a/packages/leadford/src/leadford/forwarding/admission/_reservations.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_reservations.py
@@ -36,7 +36,7 @@
 class RetryReservations:
     """Remember who was told to come back when, here and at other entries.
 
-    A request that returns is let in if it can still be served at all, and the work
+    A request that returns is admitted if it can still be served at all, and the work
     of those that are yet to return stands before that of newcomers.
     """
 
@@ -44,8 +44,8 @@
         self.by_fingerprint_: OrderedDict[str, RetryReservation] = OrderedDict()
         self.unsent_: list[RetryReservation] = []
 
-    def note(self, reservation: RetryReservation, *, is_own: bool) -> None:
-        """Take in a refusal."""
+    def record(self, reservation: RetryReservation, *, is_own: bool) -> None:
+        """Record a refusal."""
         self.by_fingerprint_[reservation.fingerprint] = reservation
         self.by_fingerprint_.move_to_end(reservation.fingerprint)
         while len(self.by_fingerprint_) > RESERVATIONS_KEPT:
@@ -75,8 +75,8 @@
             and reservation.is_urgent >= is_urgent
         )
 
-    def note_returned(self, fingerprint: str, now: float) -> None:
-        """Take in that a request has come back; it is remembered as one that did."""
+    def record_returned(self, fingerprint: str, now: float) -> None:
+        """Record that a request has come back; it is remembered as one that did."""
         reservation = self.by_fingerprint_.get(fingerprint)
         if reservation is not None:
             done = msgspec.structs.replace(
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
@@ -1,4 +1,4 @@
-"""Requests with stages are let in while they can be answered in time."""
+"""Requests with stages are admitted while they can be answered in time."""
 
 from random import Random
 
@@ -146,7 +146,7 @@
 def test_reserved_returns_stand_before_newcomers():
     fixture = Fixture()
     reservation = RetryReservation("p", 1.0, True, {SERVICE: 200})
-    fixture.reservations.note(reservation, is_own=False)
+    fixture.reservations.record(reservation, is_own=False)
     assert fixture.decide().verdict is Verdict.REFUSE
     # Once they should have come, they are counted no more.
     assert fixture.decide(fingerprint="g", now=4.0).verdict is Verdict.ADMIT
@@ -162,8 +162,8 @@
     assert by_room == pytest.approx(5.0)
 
 
-def test_the_bias_is_learned_and_bounded():
+def test_the_forecast_error_is_learned_and_bounded():
     fixture = Fixture()
     for _ in range(50):
-        fixture.admission.note_answered(ROUTE, 0.5, 60.0)
+        fixture.admission.record_answered(ROUTE, 0.5, 60.0)
     assert fixture.decide().expected_s <= 0.34 + 0.6 * 2.0 + 0.01
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_forecast.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_forecast.py
@@ -66,7 +66,7 @@
     backlog, reservations = AdmittedBacklog(), RetryReservations()
     backlog.add(BacklogKey(FAST, True), 20)
     backlog.add(BacklogKey(SLOW, True), 20)
-    reservations.note(RetryReservation("other", 0.0, True, {FAST: 40}), is_own=False)
+    reservations.record(RetryReservation("other", 0.0, True, {FAST: 40}), is_own=False)
     delay = forecast((1, 1, 1)).delay(backlog, reservations, 0.0)
     assert delay.now_s == pytest.approx(20 * 0.06)
     assert delay.returning_s == pytest.approx(40 * 0.03 / 2)
--- a/packages/leadford/src/leadford/forwarding/batching/_backlog.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_backlog.py
@@ -40,13 +40,13 @@
         else:
             self.own_by_key_.pop(key, None)
 
-    def note_heard(
+    def record_heard(
         self,
         entry_id: EntryId,
         counts_by_key: dict[BacklogKey, int],
         now: float,
     ) -> None:
-        """Take in what another entry has admitted."""
+        """Record what another entry has admitted."""
         self.heard_by_entry_[entry_id] = _Heard(counts_by_key, now)
 
     def forget(self, entry_id: EntryId) -> None:
--- a/packages/leadford/src/leadford/forwarding/batching/_capacity.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_capacity.py
@@ -77,7 +77,7 @@
         """Tell whether a call that is short of room should wait a little for more.
 
         A call costs much more than a piece in it, so a short wait pays when readers
-        are about to give results up. The wait is bounded.
+        are about to release results. The wait is bounded.
         """
         if wanted_bytes <= self.room_bytes(now):
             self.short_since_ = None
@@ -115,8 +115,10 @@
         expires_at = now + self.limits.retention_s
         self.held_by_handle_[handle] = HeldResult(result_bytes, expires_at)
 
-    def note_refused(self, believed_bytes: int, fitted_bytes: int, now: float) -> None:
-        """Take in that room was refused: results that are not known here take it.
+    def record_refused(
+        self, believed_bytes: int, fitted_bytes: int, now: float
+    ) -> None:
+        """Record that room was refused: results that are not known here take it.
 
         A scheduler that was lost leaves such results; they end by themselves.
         """
@@ -151,10 +153,10 @@
                 found.append(CapacityUse(endpoint_id, used_bytes, capacity.calls_))
         return found
 
-    def note_foreign(
+    def record_foreign(
         self, entry_id: EntryId, uses: Iterable[CapacityUse], now: float
     ) -> None:
-        """Take in what another entry still has at endpoints of groups it left."""
+        """Record what another entry still has at endpoints of groups it left."""
         uses_by_id = {use.endpoint_id: use for use in uses}
         if uses_by_id:
             self.foreign_by_entry_[entry_id] = _Foreign(uses_by_id, now)
--- a/packages/leadford/src/leadford/forwarding/batching/_graph.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_graph.py
@@ -163,24 +163,24 @@
             if key.stage in self.sinks_ and piece.handle_ is not None
         )
 
-    def note_queued(self, key: PieceKey) -> None:
-        """Take in that a piece waits for a call or is in one."""
+    def record_queued(self, key: PieceKey) -> None:
+        """Record that a piece waits for a call or is in one."""
         self.pieces_by_key_[key].state_ = PieceState.QUEUED
 
-    def note_working(self, key: PieceKey) -> None:
-        """Take in that a piece is being made and needs its inputs no more."""
+    def record_working(self, key: PieceKey) -> None:
+        """Record that a piece is being made and needs its inputs no more."""
         piece = self.pieces_by_key_[key]
         if piece.state_ is PieceState.QUEUED:
             piece.state_ = PieceState.WORKING
 
-    def note_done(self, key: PieceKey, handle: ResultHandle) -> None:
-        """Take in the result of a piece."""
+    def record_done(self, key: PieceKey, handle: ResultHandle) -> None:
+        """Record the result of a piece."""
         piece = self.pieces_by_key_[key]
         piece.state_ = PieceState.DONE
         piece.handle_ = handle
 
-    def note_failed(self, key: PieceKey) -> None:
-        """Take in that a piece was not made, so that it is made again."""
+    def record_failed(self, key: PieceKey) -> None:
+        """Record that a piece was not made, so that it is made again."""
         piece = self.pieces_by_key_[key]
         piece.state_ = PieceState.PENDING
         piece.handle_ = None
--- a/packages/leadford/src/leadford/forwarding/batching/_groups.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_groups.py
@@ -114,12 +114,12 @@
         self.loads_by_group_: dict[GroupId, GroupLoad] = {}
         self.sent_by_group_: dict[GroupId, int] = {}
 
-    def note_load(self, group: GroupId, load: GroupLoad) -> None:
-        """Take in what a scheduler said; it counts what was sent before."""
+    def record_load(self, group: GroupId, load: GroupLoad) -> None:
+        """Record what a scheduler said; it counts what was sent before."""
         self.loads_by_group_[group] = load
         self.sent_by_group_[group] = 0
 
-    def note_sent(self, group: GroupId) -> None:
+    def record_sent(self, group: GroupId) -> None:
         """Count a piece that the next report of the scheduler will count."""
         self.sent_by_group_[group] = self.sent_by_group_.get(group, 0) + 1
 
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
@@ -191,16 +191,16 @@
 def test_a_scheduler_counts_what_its_predecessor_still_has():
     capacities = CapacityTable()
     before = EntryId("n1")
-    capacities.note_foreign(before, [CapacityUse(ENDPOINT, 70, 1)], 0.0)
+    capacities.record_foreign(before, [CapacityUse(ENDPOINT, 70, 1)], 0.0)
     assert capacities.room_left(ENDPOINT, LIMITS, 0.1) == 30
     assert not capacities.is_free(ENDPOINT, LIMITS, 0.1)
     assert capacities.ranked([record("e")], LIMITS, waiting=1, now=0.1) == []
-    capacities.note_foreign(before, [CapacityUse(ENDPOINT, 20, 0)], 0.2)
+    capacities.record_foreign(before, [CapacityUse(ENDPOINT, 20, 0)], 0.2)
     assert capacities.room_left(ENDPOINT, LIMITS, 0.3) == 80
     assert capacities.is_free(ENDPOINT, LIMITS, 0.3)
     # What was said long ago, by an entry that may be gone, counts no more.
     assert capacities.room_left(ENDPOINT, LIMITS, 3.0) == 100
-    capacities.note_foreign(before, [], 3.0)
+    capacities.record_foreign(before, [], 3.0)
     assert capacities.foreign_by_entry_ == {}
 
 
@@ -224,9 +224,9 @@
 
 def test_refused_room_is_believed_for_a_while():
     capacity = CapacityTable().capacity(ENDPOINT, LIMITS)
-    capacity.note_refused(100, 30, 0.0)
+    capacity.record_refused(100, 30, 0.0)
     assert capacity.room_bytes(0.1) == 30
-    capacity.note_refused(30, 30, 0.2)
+    capacity.record_refused(30, 30, 0.2)
     assert capacity.room_bytes(0.25) == 30
     assert capacity.room_bytes(0.4) == 100
 
@@ -243,7 +243,7 @@
 def test_suspects_get_calls_only_when_alone():
     capacities = CapacityTable()
     bad, good = record("e1"), record("e2")
-    bad.note_failure(0.0, EndpointFailure.LOST)
+    bad.record_failure(0.0, EndpointFailure.LOST)
     assert capacities.ranked([bad, good], LIMITS, waiting=9, now=0.1) == [good]
     assert capacities.ranked([bad], LIMITS, waiting=1, now=0.1) == [bad]
 
@@ -283,12 +283,12 @@
 
     moved = {far: 1_000_000}
     assert choose(moved) == near
-    table.note_load(near, GroupLoad(0.2, 100, 0.0))
+    table.record_load(near, GroupLoad(0.2, 100, 0.0))
     assert choose(moved) == near
-    table.note_load(near, GroupLoad(2.0, 100, 0.0))
+    table.record_load(near, GroupLoad(2.0, 100, 0.0))
     assert choose(moved) == far
     for _ in range(40):
-        table.note_sent(far)
+        table.record_sent(far)
     assert choose(moved) == near
 
 
@@ -394,7 +394,7 @@
     key = BacklogKey(SERVICE, True)
     later = BacklogKey(SERVICE, False)
     table.add(key, 4)
-    table.note_heard(EntryId("n1"), {key: 2, later: 10}, 0.0)
+    table.record_heard(EntryId("n1"), {key: 2, later: 10}, 0.0)
 
     def before(is_urgent, now):
         return table.pieces_before(SERVICE, is_urgent, later_part=0.5, now=now)
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
@@ -128,7 +128,7 @@
 
 def test_a_suspect_gets_no_call_while_others_are_left():
     suspect, sound = record("suspect"), record("sound", "far")
-    suspect.note_failure(0.0, EndpointFailure.LOST)
+    suspect.record_failure(0.0, EndpointFailure.LOST)
     queue = fill(tasks(4))
     assert (
         next_call(queue, CapacityTable(), [suspect, sound], LIMITS, 0.1).record is sound
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_graph.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_graph.py
@@ -12,8 +12,8 @@
 
 def finish(graph, keys):
     for key in keys:
-        graph.note_queued(key)
-        graph.note_done(key, ResultHandle(f"h{key.stage}.{key.piece}"))
+        graph.record_queued(key)
+        graph.record_done(key, ResultHandle(f"h{key.stage}.{key.piece}"))
 
 
 def test_stages_follow_each_other_with_all_inputs():
@@ -67,17 +67,17 @@
     graph = PieceGraph(stages=[stage(), stage(0)], counts=[2, 2])
     finish(graph, graph.ready())
     first, second = graph.ready()
-    graph.note_queued(first)
-    graph.note_queued(second)
-    graph.note_working(first)
+    graph.record_queued(first)
+    graph.record_queued(second)
+    graph.record_working(first)
     assert graph.take_unread() == []
-    graph.note_working(second)
+    graph.record_working(second)
     assert graph.take_unread() == ["h0.0", "h0.1"]
     # They are made again only if a reader fails.
     assert graph.ready() == []
     assert graph.longest_chain() == [1]
-    graph.note_done(first, ResultHandle("h1.0"))
-    graph.note_failed(second)
+    graph.record_done(first, ResultHandle("h1.0"))
+    graph.record_failed(second)
     assert [key.stage for key in graph.ready()] == [0, 0]
     finish(graph, graph.ready())
     assert graph.ready() == [second]
@@ -86,7 +86,7 @@
 def test_a_piece_that_is_done_does_not_work_again():
     graph = PieceGraph(stages=[stage()], counts=[1])
     finish(graph, graph.ready())
-    graph.note_working(PieceKey(0, 0))
+    graph.record_working(PieceKey(0, 0))
     assert graph.is_done
     assert graph.pieces_by_key_[PieceKey(0, 0)].state_ is PieceState.DONE
 
@@ -111,13 +111,13 @@
         if not keys:
             break
         key = keys[0]
-        graph.note_queued(key)
+        graph.record_queued(key)
         assert graph.pieces_by_key_[key].state_ is PieceState.QUEUED
         assert all(handle is not None for handle in graph.inputs(key.stage))
         if next(failing, False):
-            graph.note_failed(key)
+            graph.record_failed(key)
         else:
-            graph.note_done(key, ResultHandle(f"h{key.stage}.{key.piece}"))
+            graph.record_done(key, ResultHandle(f"h{key.stage}.{key.piece}"))
         graph.take_unread()
     assert graph.is_done
     assert len(graph.final_inputs()) == sum(counts[sink] for sink in graph.sinks_)
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_limits.py
@@ -42,7 +42,7 @@
         )
     )
     record.in_flight_ = in_flight
-    record.note_load(ReportedLoad(running, waiting, slots), 0.0)
+    record.record_load(ReportedLoad(running, waiting, slots), 0.0)
     return record
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
@@ -242,7 +242,7 @@
             return max(known, GUESS_KEPT * shape.shared_tokens)
         return max(known, GUESS_KEPT * shape.shared[0].tokens)
 
-    def note_sent(
+    def record_sent(
         self, record: EndpointRecord, shape: PromptShape, memory_tokens: int
     ) -> SentPrompt:
         """Count a prompt that goes to an engine; hand the result back at its end."""
@@ -256,7 +256,7 @@
         expected = (tokens + pending) / self.tokens_per_ms_.value_
         return SentPrompt(endpoint_id, tokens, expected)
 
-    def note_started(self, sent: SentPrompt) -> None:
+    def record_started(self, sent: SentPrompt) -> None:
         """Count that the prompt has been read, or that its attempt is over."""
         left = self.pending_by_id_.get(sent.endpoint_id, 0.0) - sent.read_tokens
         if left > 0.0:
@@ -264,7 +264,7 @@
         else:
             self.pending_by_id_.pop(sent.endpoint_id, None)
 
-    def note_first_token(self, sent: SentPrompt, elapsed_ms: float) -> None:
+    def record_first_token(self, sent: SentPrompt, elapsed_ms: float) -> None:
         """Learn how fast prompts are read."""
         if sent.read_tokens >= TOKENS_LEARNED_MIN and elapsed_ms > 0.0:
             self.tokens_per_ms_.update(
--- a/packages/leadford/src/leadford/forwarding/endpoints/_record.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_record.py
@@ -65,12 +65,12 @@
         self.latency_ms_ = Ewma(initial=0.0, weight=LATENCY_WEIGHT)
         self.slowness_ = Ewma(initial=1.0, weight=SLOWNESS_WEIGHT)
 
-    def note_load(self, load: ReportedLoad, now: float) -> None:
+    def record_load(self, load: ReportedLoad, now: float) -> None:
         """Record the load on an answer."""
         self.load_ = load
         self.load_at_ = now
 
-    def note_success(self, elapsed_ms: float, slowness: float = 1.0) -> None:
+    def record_success(self, elapsed_ms: float, slowness: float = 1.0) -> None:
         """Record a good answer, and its time against what was expected of it."""
         self.failures_in_a_row_ = 0
         self.suspect_until_ = 0.0
@@ -78,7 +78,7 @@
         self.latency_ms_.update(elapsed_ms)
         self.slowness_.update(slowness)
 
-    def note_failure(self, now: float, failure: EndpointFailure) -> None:
+    def record_failure(self, now: float, failure: EndpointFailure) -> None:
         """Record a failure, which may make the endpoint suspect."""
         self.failures_in_a_row_ += 1
         self.failure_rate_.update(1.0)
@@ -89,7 +89,7 @@
         pause_s = min(SUSPECT_MAX_S, SUSPECT_BASE_S * 2.0**doublings)
         self.suspect_until_ = max(self.suspect_until_, now + pause_s)
 
-    def note_replaced(self) -> None:
+    def record_replaced(self) -> None:
         """Record proof that another process has the address."""
         self.is_replaced_ = True
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -58,7 +58,7 @@
     def replace(
         self, endpoints: Iterable[ListedEndpoint], revision: int, now: float
     ) -> list[RosterChange]:
-        """Take in a whole listing; what is known from a later revision stays."""
+        """Record a whole listing; what is known from a later revision stays."""
         changes = []
         seen = set()
         for endpoint in endpoints:
@@ -70,7 +70,7 @@
         return changes
 
     def put(self, endpoint: ListedEndpoint) -> list[RosterChange]:
-        """Take in one listed endpoint unless something newer is known of it."""
+        """Handle one listed endpoint unless something newer is known of it."""
         endpoint_id = endpoint.endpoint_id
         if endpoint.revision <= self.gone_revision_by_id_.get(endpoint_id, -1):
             return []
@@ -105,7 +105,7 @@
         *,
         seen_revision: int = 0,
     ) -> list[RosterChange]:
-        """Take in that an endpoint is listed no more.
+        """Record that an endpoint is listed no more.
 
         `revision` orders the removal against other listings of the endpoint;
         `seen_revision` is that of the answer that told it, which may hold later ones.
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
@@ -45,18 +45,18 @@
     chooser = EndpointChooser(hall=HALL, random=Random(1))
     slow, fast = record("a"), record("b", "far")
     for _ in range(5):
-        slow.note_success(100.0)
-        fast.note_success(20.0)
+        slow.record_success(100.0)
+        fast.record_success(20.0)
     assert chooser.choose([slow, fast], now=0.0) is fast
     for _ in range(30):
-        slow.note_success(20.0)
+        slow.record_success(20.0)
     assert chooser.choose([slow, fast], now=0.0) is slow
 
 
 def test_suspects_and_excluded_ones_come_last():
     chooser = EndpointChooser(hall=HALL, random=Random(1))
     good, bad = record("a", "far"), record("b")
-    bad.note_failure(0.0, EndpointFailure.LOST)
+    bad.record_failure(0.0, EndpointFailure.LOST)
     assert chooser.choose([good, bad], now=0.1) is good
     assert chooser.choose([good, bad], excluded=["a"], now=0.1) is bad
     assert chooser.choose([good, bad], excluded=["a", "b"], now=0.1) is None
@@ -79,9 +79,9 @@
 def test_only_a_fresh_report_shows_that_an_endpoint_is_idle():
     endpoint = record("a")
     assert not endpoint.is_surely_idle(0.0)
-    endpoint.note_load(ReportedLoad(1, 0, 4), 0.0)
+    endpoint.record_load(ReportedLoad(1, 0, 4), 0.0)
     assert not endpoint.is_surely_idle(0.1)
-    endpoint.note_load(ReportedLoad(0, 0, 4), 0.0)
+    endpoint.record_load(ReportedLoad(0, 0, 4), 0.0)
     assert endpoint.is_surely_idle(0.1)
     assert not endpoint.is_surely_idle(5.0)
 
@@ -128,10 +128,10 @@
     chooser = EngineChooser(hall=HALL)
     prompt = shape("one", 20_000)
     chosen = chooser.choose(engines, prompt, now=0.0)
-    sent = chooser.note_sent(chosen, prompt, 100_000)
+    sent = chooser.record_sent(chosen, prompt, 100_000)
     other = shape("one", 3_000)
     assert chooser.choose(engines, other, now=0.0) is not chosen
-    chooser.note_started(sent)
+    chooser.record_started(sent)
     assert chooser.pending_by_id_ == {}
     # The parts are kept there now, so the session goes back.
     assert chooser.choose(engines, prompt, now=0.0) is chosen
@@ -142,7 +142,7 @@
     engine = record("e1")
     for number in range(200):
         prompt = shape(f"s{number}", 1_000)
-        chooser.note_started(chooser.note_sent(engine, prompt, 10_000))
+        chooser.record_started(chooser.record_sent(engine, prompt, 10_000))
     assert chooser.kept_by_id_["e1"].total_ <= 6_000
     chooser.retain(set())
     assert chooser.kept_by_id_ == {}
@@ -151,9 +151,9 @@
 def test_speed_is_learned_from_long_prompts_only():
     chooser = EngineChooser(hall=HALL)
     before = chooser.tokens_per_ms_.value_
-    short = chooser.note_sent(record("e1"), shape("s", 200), 10_000)
-    chooser.note_first_token(short, 100.0)
+    short = chooser.record_sent(record("e1"), shape("s", 200), 10_000)
+    chooser.record_first_token(short, 100.0)
     assert chooser.tokens_per_ms_.value_ == before
-    long = chooser.note_sent(record("e1"), shape("l", 4_000), 10_000)
-    chooser.note_first_token(long, 100.0)
+    long = chooser.record_sent(record("e1"), shape("l", 4_000), 10_000)
+    chooser.record_first_token(long, 100.0)
     assert chooser.tokens_per_ms_.value_ > before
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_record.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_record.py
@@ -32,30 +32,30 @@
 
 @pytest.mark.parametrize("failure", AT_ONCE)
 def test_an_endpoint_that_is_in_doubt_itself_is_suspect_at_once(record, failure):
-    record.note_failure(10.0, failure)
+    record.record_failure(10.0, failure)
     assert record.is_suspect(10.0)
 
 
 @pytest.mark.parametrize("failure", WHEN_REPEATED)
 def test_what_a_sound_endpoint_may_show_counts_from_the_second_time(record, failure):
-    record.note_failure(10.0, failure)
+    record.record_failure(10.0, failure)
     assert not record.is_suspect(10.0)
-    record.note_failure(10.0, failure)
+    record.record_failure(10.0, failure)
     assert record.is_suspect(10.0)
 
 
 def test_each_further_failure_doubles_the_suspicion_up_to_the_most(record):
     until = []
     for _ in range(12):
-        record.note_failure(0.0, EndpointFailure.LOST)
+        record.record_failure(0.0, EndpointFailure.LOST)
         until.append(record.suspect_until_)
     assert until[:4] == [0.4, 0.8, 1.6, 3.2]
     assert until[4:] == [6.0] * 8
 
 
 def test_a_success_ends_the_suspicion(record):
-    record.note_failure(10.0, EndpointFailure.LOST)
-    record.note_success(20.0)
+    record.record_failure(10.0, EndpointFailure.LOST)
+    record.record_success(20.0)
     assert not record.is_suspect(10.0)
-    record.note_failure(10.0, EndpointFailure.ERROR_STATUS)
+    record.record_failure(10.0, EndpointFailure.ERROR_STATUS)
     assert not record.is_suspect(10.0)
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_roster.py
@@ -107,7 +107,7 @@
 def test_a_record_that_comes_back_keeps_what_was_learned():
     roster = EndpointRoster()
     roster.put(listed("a", 1))
-    roster.record(EndpointId("a")).note_success(20.0)
+    roster.record(EndpointId("a")).record_success(20.0)
     roster.remove(EndpointId("a"), 2, 10.0)
     roster.put(listed("a", 3))
     assert roster.record(EndpointId("a")).latency_ms_.count_ == 1
@@ -133,13 +133,13 @@
     roster = EndpointRoster()
     roster.put(listed("a", 1))
     record = roster.record(EndpointId("a"))
-    record.note_failure(10.0, EndpointFailure.ERROR_STATUS)
+    record.record_failure(10.0, EndpointFailure.ERROR_STATUS)
     assert not record.is_suspect(10.0)
-    record.note_failure(10.0, EndpointFailure.ERROR_STATUS)
+    record.record_failure(10.0, EndpointFailure.ERROR_STATUS)
     assert record.is_suspect(10.1)
     assert not record.is_suspect(12.0)
-    record.note_failure(20.0, EndpointFailure.LOST)
-    record.note_success(5.0)
+    record.record_failure(20.0, EndpointFailure.LOST)
+    record.record_success(5.0)
     assert not record.is_suspect(20.0)
 
 
@@ -147,7 +147,7 @@
     roster = EndpointRoster()
     roster.put(listed("a", 1))
     record = roster.record(EndpointId("a"))
-    record.note_load(ReportedLoad(running=3, waiting=2, slots=4), 10.0)
+    record.record_load(ReportedLoad(running=3, waiting=2, slots=4), 10.0)
     record.in_flight_ = 1
     assert record.waiting_elsewhere(10.5) == 4
     assert record.waiting_elsewhere(13.0) == 0
--- a/packages/leadford/src/leadford/forwarding/retries/_budget.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_budget.py
@@ -10,8 +10,8 @@
 class WindowedRetryBudget:
     """Allow a share of the fleet's repeats in each window.
 
-    The fleet may repeat `ratio` of its requests and `slack` more in any window. Each
-    of `sharers` entries counts its own requests and takes an equal part of the slack,
+    The fleet may repeat `ratio` of its requests and `slack` more in any window. Each of
+    `entry_count` entries counts its own requests and takes an equal part of the slack,
     so no message is needed. A part is left unspent for clocks that disagree.
 
     Units: window_s in seconds.
@@ -21,15 +21,15 @@
         self.ratio = ratio
         self.slack = slack
         self.window_s = window_s
-        self.sharers_ = 1
+        self.entry_count_ = 1
         self.requests_: deque[float] = deque()
         self.repeats_: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count one request of a caller."""
         self.requests_.append(now)
 
-    def note_repeat(self, now: float) -> None:
+    def record_repeat(self, now: float) -> None:
         """Count one repeat that was sent."""
         self.repeats_.append(now)
 
@@ -39,12 +39,14 @@
         for times in (self.requests_, self.repeats_):
             while times and times[0] < horizon:
                 times.popleft()
-        allowed = self.ratio * len(self.requests_) + self.slack / max(1, self.sharers_)
+        allowed = self.ratio * len(self.requests_) + self.slack / max(
+            1, self.entry_count_
+        )
         return len(self.repeats_) + 1 <= allowed * EDGE
 
     def try_spend(self, now: float) -> bool:
         """Spend one repeat if the budget allows it."""
         if not self.allows(now):
             return False
-        self.note_repeat(now)
+        self.record_repeat(now)
         return True
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_budget.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_budget.py
@@ -7,11 +7,11 @@
 
 def test_slack_is_shared_and_ratio_is_earned():
     budget = WindowedRetryBudget(ratio=0.2, slack=40.0, window_s=10.0)
-    budget.sharers_ = 4
+    budget.entry_count_ = 4
     spent = sum(budget.try_spend(0.0) for _ in range(50))
     assert spent == 8
     for _ in range(100):
-        budget.note_request(1.0)
+        budget.record_request(1.0)
     assert sum(budget.try_spend(1.0) for _ in range(50)) == 17
 
 
@@ -34,13 +34,13 @@
         for _ in range(4)
     ]
     for budget in budgets:
-        budget.sharers_ = 4
+        budget.entry_count_ = 4
     now = 0.0
     requests, repeats = [], []
     for entry, is_repeat, gap in events:
         now += gap
         if not is_repeat:
-            budgets[entry].note_request(now)
+            budgets[entry].record_request(now)
             requests.append(now)
         elif budgets[entry].try_spend(now):
             repeats.append(now)
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_limits.py
@@ -54,7 +54,7 @@
         )
     )
     for latency_ms in latencies_ms:
-        found.note_success(latency_ms)
+        found.record_success(latency_ms)
     return found
 
 
--- a/packages/leadford/src/leadford/forwarding/routes/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/routes/__init__.py
@@ -19,16 +19,15 @@
     Workspace,
 )
 from leadford.forwarding.routes._table import (
-    Admitted,
     LookupError,
     LookupFault,
+    RouteMatch,
     RouteTable,
 )
 
 __all__ = [
     "PRIORITY_HIGHEST",
     "PRIORITY_LOWEST",
-    "Admitted",
     "EngineLimits",
     "ForwardConfig",
     "LookupError",
@@ -39,6 +38,7 @@
     "Route",
     "RouteId",
     "RouteKind",
+    "RouteMatch",
     "RouteTable",
     "Service",
     "ServiceId",
--- a/packages/leadford/src/leadford/forwarding/routes/_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_denial.py
@@ -14,7 +14,7 @@
 from returns.result import Failure, Result, Success
 
 from leadford.forwarding.routes._model import RouteKind
-from leadford.forwarding.routes._table import Admitted, LookupError, LookupFault
+from leadford.forwarding.routes._table import LookupError, LookupFault, RouteMatch
 
 # Seconds since the store last confirmed the configuration, after which a missing route
 # or key may be news that this process has not heard. The value was not measured.
@@ -58,8 +58,8 @@
 
 
 def decide_start(
-    found: Result[Admitted, LookupError] | None, age: ProcessAge
-) -> Result[Admitted, StartDenial]:
+    found: Result[RouteMatch, LookupError] | None, age: ProcessAge
+) -> Result[RouteMatch, StartDenial]:
     """Return what the configuration says of a request that may begin, or why not.
 
     `found` is None while this process has no configuration.
@@ -70,10 +70,10 @@
         if not _is_fresh(age):
             return Failure(StartDenial.CONFIG_MAY_BE_OLD)
         return Failure(_DENIAL_BY_FAULT[found.failure().fault])
-    admitted = found.unwrap()
-    if not _leaves_time(admitted.route.kind, age):
+    match = found.unwrap()
+    if not _leaves_time(match.route.kind, age):
         return Failure(StartDenial.STOPPING)
-    return Success(admitted)
+    return Success(match)
 
 
 def _is_fresh(age: ProcessAge) -> bool:
--- a/packages/leadford/src/leadford/forwarding/routes/_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_table.py
@@ -30,7 +30,7 @@
     version: int
 
 
-class Admitted(msgspec.Struct, frozen=True):
+class RouteMatch(msgspec.Struct, frozen=True):
     """Hold what the configuration says of one request."""
 
     route: Route
@@ -82,7 +82,7 @@
 
     def lookup(
         self, host: str, path: str, key: str | None, random: Random
-    ) -> Result[Admitted, LookupError]:
+    ) -> Result[RouteMatch, LookupError]:
         """Return what holds for a request, or why it is not allowed."""
         version = self.config.version
         route = self.match(host, path)
@@ -100,7 +100,7 @@
         if workspace is not None and workspace.priority is not None:
             priority = workspace.priority
         return Success(
-            Admitted(
+            RouteMatch(
                 route=route,
                 service=service,
                 workspace_id=workspace.workspace_id if workspace else None,
--- a/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
@@ -5,13 +5,13 @@
 from returns.result import Failure, Success
 
 from leadford.forwarding.routes import (
-    Admitted,
     LookupError,
     LookupFault,
     ProcessAge,
     Route,
     RouteId,
     RouteKind,
+    RouteMatch,
     Service,
     ServiceId,
     StartDenial,
@@ -28,7 +28,7 @@
     timeout_ms=4_000.0,
     aim_ms=1_600.0,
 )
-FOUND = Admitted(ROUTE, Service(ServiceId("s"), connections_max=1), None, 5, 7)
+FOUND = RouteMatch(ROUTE, Service(ServiceId("s"), connections_max=1), None, 5, 7)
 FRESH = ProcessAge(config_age_s=1.0, stopping_s=None, grace_s=8.0)
 
 
