--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_config.py
@@ -0,0 +1,75 @@
+"""Put configurations in force: from the store, or from a peer that knows better.
+
+Owns the table of routes in force and when the store last confirmed it. The version in
+force only rises; a configuration that cannot be read leaves the last one in force.
+"""
+
+from collections.abc import Callable
+
+from returns.result import Failure
+
+from leadford.events import Event
+from leadford.forwarding.routes import ForwardConfig, RouteTable
+from leadford_server.forwarding._contract import ObjectCodec, ObjectEvent
+from leadford_server.forwarding._follow import Listing
+from leadford_server.forwarding._state import ForwardState
+
+# Characters of a fault that a log line holds.
+FAULT_LOGGED = 300
+
+
+class ConfigHolder:
+    """Hold the configuration in force.
+
+    `on_change` is called after another one is in force.
+    """
+
+    def __init__(
+        self,
+        *,
+        objects: ObjectCodec,
+        state: ForwardState,
+        on_change: Callable[[ForwardConfig], None],
+    ) -> None:
+        self.objects = objects
+        self.state = state
+        self.on_change = on_change
+
+    def on_list(self, listing: Listing) -> None:
+        """Read a listing of the store."""
+        for item in listing.items:
+            self._read(item)
+
+    def on_event(self, event: ObjectEvent) -> None:
+        """Read one change in the store."""
+        if not event.is_gone:
+            self._read(event.item)
+
+    def on_confirmed(self, revision: int) -> None:
+        """Record that the store has said that nothing is missing."""
+        if self.state.table_ is not None:
+            self.state.config_seen_at_ = self.state.now()
+
+    def apply(self, config: ForwardConfig) -> None:
+        """Put a configuration in force unless it is older than the one in force."""
+        table = self.state.table_
+        if table is not None and config.version <= table.config.version:
+            return
+        self.state.table_ = RouteTable.from_config(config)
+        self.state.log.report(
+            Event.CONFIG_IN_FORCE,
+            version=config.version,
+            before=table.config.version if table else 0,
+            routes=len(config.routes),
+        )
+        self.on_change(config)
+
+    def _read(self, item: dict) -> None:
+        if self.objects.object_name(item) != self.objects.config_name:
+            return
+        read = self.objects.read_config(item)
+        if isinstance(read, Failure):
+            fault = str(read.failure())[:FAULT_LOGGED]
+            self.state.log.report(Event.CONFIG_UNREADABLE, error=fault)
+            return
+        self.apply(read.unwrap())
--- a/packages/leadford-server/src/leadford_server/forwarding/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_follow.py
@@ -1,8 +1,12 @@
-"""Follow the objects of a kind in the platform's store: list once, then watch."""
+"""Follow the objects of a kind in the platform's store: list once, then watch.
+
+`ObjectsClient` is the one client of the store; it tells in the log when the store stops
+and starts to answer. What is listed and watched goes to the owner of the kind.
+"""
 
 import asyncio
-from collections.abc import Callable
 from random import Random
+from typing import Protocol
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -88,29 +92,29 @@
     revision: int
 
 
-class KindFollower:
-    """Keep what is known of one kind up to date.
+class KindOwner(Protocol):
+    """Own what is known of one kind of object."""
+
+    def on_list(self, listing: Listing) -> None:
+        """Read a whole listing of the store."""
+
+    def on_event(self, event: ObjectEvent) -> None:
+        """Read one change after the listing."""
+
+    def on_confirmed(self, revision: int) -> None:
+        """Record that the store has said that nothing is missing."""
 
-    `on_list` gets a whole listing, `on_event` each change after it, and
-    `on_confirmed` is called whenever the store has said that nothing is missing.
-    """
+
+class KindFollower:
+    """Keep the owner of one kind up to date."""
 
     def __init__(
-        self,
-        *,
-        kind: str,
-        client: ObjectsClient,
-        random: Random,
-        on_list: Callable[[Listing], None],
-        on_event: Callable[[ObjectEvent], None],
-        on_confirmed: Callable[[int], None],
+        self, *, kind: str, client: ObjectsClient, random: Random, owner: KindOwner
     ) -> None:
         self.kind = kind
         self.client = client
         self.random = random
-        self.on_list = on_list
-        self.on_event = on_event
-        self.on_confirmed = on_confirmed
+        self.owner = owner
         self.revision_: int | None = None
         self.margin_s_ = WATCH_MARGIN_S
 
@@ -144,9 +148,9 @@
             after = page.next_name
             if after is None:
                 break
-        self.on_list(Listing(items, revision))
+        self.owner.on_list(Listing(items, revision))
         self.revision_ = revision
-        self.on_confirmed(revision)
+        self.owner.on_confirmed(revision)
         return True
 
     async def _watch(self) -> bool:
@@ -169,7 +173,7 @@
             return False
         seen = seen.unwrap()
         for event in seen.events:
-            self.on_event(event)
+            self.owner.on_event(event)
         self.revision_ = max(self.revision_, seen.revision)
-        self.on_confirmed(self.revision_)
+        self.owner.on_confirmed(self.revision_)
         return True
--- a/packages/leadford-server/src/leadford_server/forwarding/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_groups.py
@@ -15,7 +15,7 @@
     schedulers_in_order,
 )
 from leadford.forwarding.routes import PieceLimits, ServiceId, StageSpec
-from leadford_server.forwarding._jobs import SchedulerLinks
+from leadford_server.forwarding._jobs import LiveEntries
 from leadford_server.forwarding._scheduler import BatchScheduler
 from leadford_server.forwarding._state import ForwardState
 
@@ -30,13 +30,13 @@
         self.entry_id = entry_id
         self.scheduler = scheduler
         self.loads_ = GroupTable()
-        self.links: SchedulerLinks | None = None
+        self.live_entries: LiveEntries | None = None
 
     def scheduler_of(self, group: GroupId) -> EntryId:
         """Return the live entry that keeps a group."""
         halls = {}
-        if self.links is not None:
-            halls = self.links.halls_by_live_entry()
+        if self.live_entries is not None:
+            halls = self.live_entries.halls_by_live_entry()
         if not halls or self.state.stop_began_at_ is None:
             halls[self.entry_id] = self.state.hall
         return schedulers_in_order(group, halls, self.state.regions)[0]
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_heartbeats.py
@@ -0,0 +1,121 @@
+"""Say in heartbeats what this entry knows, and record what others say.
+
+A heartbeat carries the load of the groups that an entry schedules, the pieces it has
+admitted, the requests it has refused since, and what it still has at endpoints whose
+group another entry schedules now. Nothing here decides; each part is recorded by its
+owner.
+"""
+
+from leadford.common import EndpointId, EntryId
+from leadford.forwarding.admission import RetryReservation
+from leadford.forwarding.batching import (
+    BacklogKey,
+    CapacityUse,
+    GroupId,
+    GroupLoad,
+    PlaceId,
+)
+from leadford.forwarding.routes import ServiceId
+from leadford.protocol import (
+    CommitmentReport,
+    EntryHeartbeat,
+    GroupReport,
+    LaneReport,
+    RefusalReport,
+)
+from leadford_server.forwarding._stages import StageRunner
+from leadford_server.forwarding._state import ForwardState
+
+
+class Heartbeats:
+    """Make the heartbeats of this entry, and record those of others."""
+
+    def __init__(
+        self, *, entry_id: EntryId, state: ForwardState, stages: StageRunner
+    ) -> None:
+        self.entry_id = entry_id
+        self.state = state
+        self.stages = stages
+
+    def make(self, groups: set[GroupId], *, is_draining: bool) -> EntryHeartbeat:
+        """Return what is said now; refusals are said once."""
+        return EntryHeartbeat(
+            self.state.roster_.changed_revision_,
+            self._group_reports(groups),
+            is_draining,
+            self._backlog_reports(),
+            self._refusal_reports(),
+            self._capacity_reports(),
+        )
+
+    def record(self, entry_id: EntryId, message: EntryHeartbeat) -> None:
+        """Record what another entry says."""
+        now = self.state.now()
+        for report in message.groups:
+            group = GroupId(ServiceId(report.service_id), PlaceId(report.place))
+            load = GroupLoad(report.wait_ms / 1_000.0, report.room_bytes, now)
+            self.stages.groups.loads_.record_load(group, load)
+        counts = {
+            BacklogKey(ServiceId(report.service_id), report.is_urgent): report.pieces
+            for report in message.commitments
+        }
+        self.stages.backlog_.record_heard(entry_id, counts, now)
+        for report in message.refused:
+            reservation = RetryReservation(
+                report.fingerprint,
+                now + report.return_ms / 1_000.0,
+                report.is_urgent,
+                {ServiceId(name): count for name, count in report.pieces.items()},
+            )
+            self.state.reservations_.record(reservation, is_own=False)
+        uses = [
+            CapacityUse(
+                EndpointId(report.endpoint_id), report.result_bytes, report.calls
+            )
+            for report in message.lanes
+        ]
+        self.stages.scheduler_.capacities_.record_foreign(entry_id, uses, now)
+
+    def _group_reports(self, groups: set[GroupId]) -> list[GroupReport]:
+        """Return the load of the groups that this entry schedules."""
+        scheduler = self.stages.scheduler_
+        return [
+            GroupReport(
+                group.service_id,
+                group.place,
+                round(scheduler.wait_s(group) * 1_000.0, 1),
+                scheduler.room_bytes(group),
+            )
+            for group in groups
+            if self.stages.groups.scheduler_of(group) == self.entry_id
+        ]
+
+    def _backlog_reports(self) -> list[CommitmentReport]:
+        """Return the pieces that this entry has admitted and not yet had made."""
+        return [
+            CommitmentReport(key.service_id, key.is_urgent, pieces)
+            for key, pieces in self.stages.backlog_.own_by_key_.items()
+        ]
+
+    def _refusal_reports(self) -> list[RefusalReport]:
+        """Return the requests that were refused here since the last heartbeat."""
+        now = self.state.now()
+        return [
+            RefusalReport(
+                reservation.fingerprint,
+                (reservation.return_at - now) * 1_000.0,
+                reservation.is_urgent,
+                dict(reservation.pieces_by_service),
+            )
+            for reservation in self.state.reservations_.take_unsent()
+        ]
+
+    def _capacity_reports(self) -> list[LaneReport]:
+        """Return what this entry still has where others schedule now."""
+        groups = self.stages.groups
+        uses = self.stages.scheduler_.uses_left(
+            lambda group: groups.scheduler_of(group) != self.entry_id
+        )
+        return [
+            LaneReport(use.endpoint_id, use.result_bytes, use.calls) for use in uses
+        ]
--- a/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
@@ -19,12 +19,16 @@
         self.detail = detail
 
 
-class SchedulerLinks(Protocol):
-    """Reach the schedulers at other entries."""
+class LiveEntries(Protocol):
+    """Know which other entries live."""
 
     def halls_by_live_entry(self) -> dict[EntryId, HallId]:
         """Return the entries that are known to be alive, without this one."""
 
+
+class SchedulerLinks(Protocol):
+    """Reach the schedulers at other entries, and the entries that ask this one."""
+
     def submit(self, entry_id: EntryId, group: GroupId, task: PieceTask) -> bool:
         """Send a piece to a scheduler; return whether a connection stands."""
 
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_listing.py
@@ -0,0 +1,89 @@
+"""Join the listings of endpoints: from the store, or from a peer that knows better.
+
+Writes the roster, which orders what it is told by the revisions of the store. An
+endpoint that cannot be read is left out, with a log line.
+"""
+
+from collections.abc import Callable, Iterable
+
+from returns.result import Failure
+
+from leadford.events import Event
+from leadford.forwarding.endpoints import ListedEndpoint, RosterChange
+from leadford_server.forwarding._contract import ObjectCodec, ObjectEvent
+from leadford_server.forwarding._follow import Listing
+from leadford_server.forwarding._state import ForwardState
+
+# Characters of a fault that a log line holds.
+FAULT_LOGGED = 300
+
+
+class ListingHolder:
+    """Hold the listed endpoints.
+
+    `on_change` is called after the listing has changed.
+    """
+
+    def __init__(
+        self,
+        *,
+        objects: ObjectCodec,
+        state: ForwardState,
+        on_change: Callable[[], None],
+    ) -> None:
+        self.objects = objects
+        self.state = state
+        self.on_change = on_change
+
+    def on_list(self, listing: Listing) -> None:
+        """Read a whole listing of the store."""
+        found = [self._read(item) for item in listing.items]
+        endpoints = [endpoint for endpoint in found if endpoint is not None]
+        self.apply(endpoints, listing.revision)
+
+    def on_event(self, event: ObjectEvent) -> None:
+        """Read one change in the store."""
+        roster = self.state.roster_
+        if event.is_gone:
+            changes = roster.remove(
+                self.objects.object_name(event.item),
+                self.objects.object_revision(event.item),
+                self.state.now(),
+                seen_revision=event.seen_revision,
+            )
+            self._log(changes)
+            return
+        endpoint = self._read(event.item)
+        if endpoint is not None:
+            self._log(roster.put(endpoint))
+
+    def on_confirmed(self, revision: int) -> None:
+        """Do nothing: how old a listing is decides nothing."""
+
+    def apply(self, endpoints: list[ListedEndpoint], revision: int) -> None:
+        """Join a whole listing that was made at a revision of the store."""
+        roster = self.state.roster_
+        self._log(roster.replace(endpoints, revision, self.state.now()))
+
+    def _read(self, item: dict) -> ListedEndpoint | None:
+        read = self.objects.read_endpoint(item)
+        if isinstance(read, Failure):
+            fault = read.failure()[:FAULT_LOGGED]
+            self.state.log.report(Event.CONFIG_UNREADABLE, error=fault)
+            return None
+        return read.unwrap()
+
+    def _log(self, changes: Iterable[RosterChange]) -> None:
+        """Log what changed, and tell it."""
+        changes = list(changes)
+        for change in changes:
+            self.state.log.report(
+                Event.ENDPOINT_LISTED,
+                endpoint=change.endpoint_id,
+                service=change.service_id,
+                before=change.before,
+                after=change.after,
+                revision=self.state.roster_.changed_revision_,
+            )
+        if changes:
+            self.on_change()
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_news.py
@@ -0,0 +1,138 @@
+"""Spread configuration, listing of endpoints and known entries between entries.
+
+So an entry that the store turns away follows its neighbours, and entries that restart
+while the store is away find each other. What is received is put in force by its owner
+(`on_config`, `on_listing`, `on_entries`), which keeps what is newer.
+"""
+
+from collections.abc import Callable, Mapping
+
+import msgspec
+
+from leadford.common import EntryId, HallId
+from leadford.events import Event
+from leadford.forwarding.endpoints import ListedEndpoint
+from leadford.forwarding.routes import ForwardConfig
+from leadford.protocol import (
+    EntryAddress,
+    EntryHeartbeat,
+    EntryListing,
+    ForwardConfigAnswer,
+    ForwardConfigRequest,
+    ListingAnswer,
+    ListingRequest,
+)
+from leadford_server.forwarding._contract import KnownEntry
+from leadford_server.forwarding._peers import MessageHandlers
+from leadford_server.forwarding._state import ForwardState
+from leadford_server.peers import PeerConnection
+
+# Seconds for which a peer must know better before it is asked; commit dceba7c, not
+# measured.
+BEHIND_S = 0.3
+# Characters of a decoding error that a log line holds.
+ERROR_LOGGED = 200
+
+
+class NewsExchange:
+    """Ask peers that know better, and answer those that ask."""
+
+    def __init__(
+        self,
+        *,
+        own: KnownEntry,
+        state: ForwardState,
+        entries_by_id: Mapping[EntryId, KnownEntry],
+        on_config: Callable[[ForwardConfig], None],
+        on_listing: Callable[[list[ListedEndpoint], int], None],
+        on_entries: Callable[[list[KnownEntry]], None],
+    ) -> None:
+        self.own = own
+        self.state = state
+        self.entries_by_id = entries_by_id
+        self.on_config = on_config
+        self.on_listing = on_listing
+        self.on_entries = on_entries
+        self.behind_since_: float | None = None
+        self.listing_behind_since_: float | None = None
+
+    def handlers(self) -> MessageHandlers:
+        """Return what handles each kind of message here."""
+        return {
+            EntryListing: self._on_entries,
+            ForwardConfigRequest: self._send_config,
+            ForwardConfigAnswer: self._on_config,
+            ListingRequest: self._send_listing,
+            ListingAnswer: self._on_listing,
+        }
+
+    def version(self) -> int:
+        """Return the version of the configuration in force, 0 without one."""
+        table = self.state.table_
+        return table.config.version if table is not None else 0
+
+    def ask_if_behind(
+        self, peer: PeerConnection, message: EntryHeartbeat, now: float
+    ) -> None:
+        """Ask a peer that has known better for a while."""
+        if peer.peer_config_version_ > self.version():
+            self.behind_since_ = self.behind_since_ or now
+            if now - self.behind_since_ >= BEHIND_S or self.version() == 0:
+                peer.send(ForwardConfigRequest(self.version()))
+                self.behind_since_ = None
+        revision = self.state.roster_.changed_revision_
+        if message.listing_revision > revision:
+            self.listing_behind_since_ = self.listing_behind_since_ or now
+            if now - self.listing_behind_since_ >= BEHIND_S or revision == 0:
+                peer.send(ListingRequest(revision))
+                self.listing_behind_since_ = None
+
+    def send_entries(self, peer: PeerConnection) -> None:
+        own = EntryAddress(self.own.entry_id, self.own.address, self.own.hall)
+        known = [
+            EntryAddress(entry.entry_id, entry.address, entry.hall)
+            for entry in self.entries_by_id.values()
+        ]
+        peer.send(EntryListing([own, *known]))
+
+    def _on_entries(self, peer: PeerConnection, message: EntryListing) -> None:
+        self.on_entries(
+            [
+                KnownEntry(EntryId(entry.entry_id), entry.address, HallId(entry.hall))
+                for entry in message.entries
+            ]
+        )
+
+    def _send_config(self, peer: PeerConnection, message: ForwardConfigRequest) -> None:
+        table = self.state.table_
+        if table is not None and table.config.version > message.known_version:
+            data = msgspec.msgpack.encode(table.config)
+            peer.send(ForwardConfigAnswer(table.config.version, data))
+
+    def _on_config(self, peer: PeerConnection, message: ForwardConfigAnswer) -> None:
+        try:
+            config = msgspec.msgpack.decode(message.config, type=ForwardConfig)
+        except msgspec.DecodeError as error:
+            self.state.log.report(
+                Event.CONFIG_UNREADABLE, error=str(error)[:ERROR_LOGGED]
+            )
+            return
+        self.on_config(config)
+
+    def _send_listing(self, peer: PeerConnection, message: ListingRequest) -> None:
+        roster = self.state.roster_
+        if roster.changed_revision_ > message.known_revision:
+            data = msgspec.msgpack.encode(roster.listed())
+            peer.send(ListingAnswer(roster.changed_revision_, data))
+
+    def _on_listing(self, peer: PeerConnection, message: ListingAnswer) -> None:
+        try:
+            listed = msgspec.msgpack.decode(
+                message.endpoints, type=list[ListedEndpoint]
+            )
+        except msgspec.DecodeError as error:
+            self.state.log.report(
+                Event.CONFIG_UNREADABLE, error=str(error)[:ERROR_LOGGED]
+            )
+            return
+        self.on_listing(listed, message.revision)
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_peers.py
@@ -0,0 +1,9 @@
+"""Say how messages of peers are handled."""
+
+from collections.abc import Callable
+
+from leadford.protocol import Message
+from leadford_server.peers import PeerConnection
+
+MessageHandler = Callable[[PeerConnection, Message], None]
+MessageHandlers = dict[type[Message], MessageHandler]
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pieces.py
@@ -0,0 +1,152 @@
+"""Exchange pieces with other entries: what is asked of schedulers, and their answers.
+
+Translates between the messages of the peer protocol and the types of
+`leadford.forwarding.batching`. Moments travel as time left, since the clocks of two
+processes have nothing in common.
+"""
+
+from collections.abc import Mapping
+
+from leadford.common import EndpointId, EntryId, HallId, RequestId
+from leadford.forwarding.batching import GroupId, PieceKey, PieceTask, PlaceId
+from leadford.forwarding.routes import ResultHandle, ServiceId
+from leadford.protocol import (
+    PieceAnswer,
+    PieceCancel,
+    PieceRelease,
+    PieceSubmit,
+    PieceWorking,
+)
+from leadford_server.forwarding._peers import MessageHandlers
+from leadford_server.forwarding._scheduler import PieceResult
+from leadford_server.forwarding._stages import StageRunner
+from leadford_server.forwarding._state import ForwardState
+from leadford_server.peers import PeerConnection
+
+
+class PieceExchange:
+    """Send pieces, answers and releases to other entries, and take theirs."""
+
+    def __init__(
+        self,
+        *,
+        state: ForwardState,
+        stages: StageRunner,
+        peers_by_id: Mapping[EntryId, PeerConnection],
+    ) -> None:
+        self.state = state
+        self.stages = stages
+        self.peers_by_id = peers_by_id
+
+    def handlers(self) -> MessageHandlers:
+        """Return what handles each kind of message here."""
+        return {
+            PieceSubmit: self._on_submit,
+            PieceAnswer: self._on_answer,
+            PieceWorking: self._on_inputs_read,
+            PieceCancel: self._on_cancel,
+            PieceRelease: self._on_release,
+        }
+
+    def submit(self, entry_id: EntryId, group: GroupId, task: PieceTask) -> bool:
+        """Send a piece to a scheduler; return whether a connection stands."""
+        peer = self.peers_by_id.get(entry_id)
+        if peer is None:
+            return False
+        now = self.state.now()
+        return peer.send(
+            PieceSubmit(
+                task.correlation_id,
+                group.service_id,
+                group.place,
+                task.request_id,
+                task.key.stage,
+                task.key.piece,
+                task.private_key,
+                list(task.inputs),
+                task.result_bytes,
+                (task.deadline - now) * 1_000.0,
+                (task.due_at - now) * 1_000.0,
+                (task.rank_at - now) * 1_000.0,
+                list(task.excluded),
+                dict(task.near_bytes_by_hall),
+            )
+        )
+
+    def cancel(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
+        """Tell a scheduler that pieces are wanted no more."""
+        peer = self.peers_by_id.get(entry_id)
+        if peer is not None:
+            peer.send(PieceCancel(correlation_ids))
+
+    def release(
+        self, entry_id: EntryId, endpoint_id: EndpointId, handles: list[ResultHandle]
+    ) -> bool:
+        """Tell a scheduler that results have no reader any more."""
+        peer = self.peers_by_id.get(entry_id)
+        if peer is None:
+            return False
+        return peer.send(PieceRelease(endpoint_id, list(handles)))
+
+    def send_inputs_read(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
+        """Tell an entry that its pieces have fetched their inputs."""
+        peer = self.peers_by_id.get(entry_id)
+        if peer is not None:
+            peer.send(PieceWorking(correlation_ids))
+
+    def reply(self, task: PieceTask, answer: PieceResult) -> None:
+        """Send the answer for a piece to the entry that asked."""
+        peer = self.peers_by_id.get(task.origin)
+        message = PieceAnswer(
+            task.correlation_id,
+            answer.handle or "",
+            answer.reason,
+            answer.endpoint_id or "",
+        )
+        if peer is not None and peer.send(message):
+            return
+        if answer.handle is not None:
+            self.stages.scheduler_.release(answer.endpoint_id, [answer.handle])
+
+    def _on_submit(self, peer: PeerConnection, message: PieceSubmit) -> None:
+        now = self.state.now()
+        task = PieceTask(
+            correlation_id=message.correlation_id,
+            origin=EntryId(peer.info.peer_id),
+            request_id=RequestId(message.request_id),
+            key=PieceKey(message.stage, message.piece),
+            private_key=message.private_key,
+            inputs=tuple(ResultHandle(handle) for handle in message.inputs),
+            result_bytes=message.result_bytes,
+            deadline=now + message.remaining_ms / 1_000.0,
+            due_at=now + message.due_ms / 1_000.0,
+            rank_at=now + message.rank_ms / 1_000.0,
+            queued_at=now,
+            excluded=frozenset(EndpointId(text) for text in message.excluded),
+            near_bytes_by_hall={
+                HallId(hall): count for hall, count in message.near_bytes.items()
+            },
+        )
+        group = GroupId(ServiceId(message.service_id), PlaceId(message.place))
+        self.stages.scheduler_.submit(group, task)
+
+    def _on_answer(self, peer: PeerConnection, message: PieceAnswer) -> None:
+        answer = PieceResult(
+            ResultHandle(message.handle) if message.handle else None,
+            message.reason,
+            EndpointId(message.endpoint_id) if message.endpoint_id else None,
+        )
+        self.stages.on_answer(
+            EntryId(peer.info.peer_id), message.correlation_id, answer
+        )
+
+    def _on_inputs_read(self, peer: PeerConnection, message: PieceWorking) -> None:
+        self.stages.on_working(EntryId(peer.info.peer_id), message.correlation_ids)
+
+    def _on_cancel(self, peer: PeerConnection, message: PieceCancel) -> None:
+        origin = EntryId(peer.info.peer_id)
+        self.stages.scheduler_.cancel(origin, set(message.correlation_ids))
+
+    def _on_release(self, peer: PeerConnection, message: PieceRelease) -> None:
+        handles = [ResultHandle(handle) for handle in message.handles]
+        self.stages.scheduler_.release(EndpointId(message.endpoint_id), handles)
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -1,7 +1,11 @@
-"""Run an entry that forwards: its sockets, what it follows, and its planned stop."""
+"""Run an entry that forwards: its sockets, what it follows, and its planned stop.
+
+Makes the owners of state and connects them; each of them has a module of its own. The
+program that the users' platform runs starts here.
+"""
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from random import Random, SystemRandom
 
 import msgspec
@@ -14,22 +18,18 @@
 from leadford.forwarding.admission import ForwardAdmission
 from leadford.forwarding.answers import RequestOutcome
 from leadford.forwarding.batching import RegionMap
-from leadford.forwarding.endpoints import ListedEndpoint
-from leadford.forwarding.routes import ForwardConfig, RouteTable
+from leadford.forwarding.routes import ForwardConfig
 from leadford_server.forwarding._callers import CallerExchange, CallerServer
+from leadford_server.forwarding._config import ConfigHolder
 from leadford_server.forwarding._contract import (
     KnownEntry,
     ObjectCodec,
-    ObjectEvent,
     RequestCodec,
 )
-from leadford_server.forwarding._follow import (
-    STATUS_CONFLICT,
-    KindFollower,
-    Listing,
-    ObjectsClient,
-)
+from leadford_server.forwarding._follow import KindFollower, ObjectsClient
 from leadford_server.forwarding._links import EntryLinks
+from leadford_server.forwarding._listing import ListingHolder
+from leadford_server.forwarding._members import EntryMembers
 from leadford_server.forwarding._request import RequestForwarder
 from leadford_server.forwarding._stages import StageRunner
 from leadford_server.forwarding._state import ForwardBounds, ForwardState
@@ -45,8 +45,6 @@
 DRAIN_MARGIN_S = 0.6
 # Seconds between sweeps of connections and records; not measured.
 SWEEP_S = 0.5
-# Seconds between tries to announce this entry in the store; not measured.
-ANNOUNCE_WAIT_S = 0.5
 # Calls to the store at a time; not measured.
 STORE_CLIENTS = 12
 
@@ -97,8 +95,6 @@
         self.log_ = EventLog(process_id=settings.entry_id)
         self.is_draining_ = False
         self.tasks_: list[asyncio.Task[None]] = []
-        self.entries_by_id_: dict[EntryId, KnownEntry] = {}
-        self.has_listed_entries_ = False
 
     async def start(self) -> None:
         """Listen and begin to follow the store."""
@@ -118,17 +114,7 @@
             reservations=self.state_.reservations_,
             random=self.random,
         )
-        self.links_ = EntryLinks(
-            entry_id=settings.entry_id,
-            secret=settings.secret,
-            state=self.state_,
-            stages=self.stages_,
-            random=self.random,
-            on_config=self._apply_config,
-            on_listing=self._apply_listing,
-            on_entries=self._learn_entries,
-        )
-        self.stages_.connect(self.links_)
+        self._build_holders()
         self.caller_server_ = CallerServer(
             codec=self.codec,
             serve=self._serve,
@@ -138,15 +124,47 @@
         )
         self.caller_server_.start(settings.callers.host, settings.callers.port)
         self._listen_ready()
-        await self.links_.start(settings.peers)
+        await self.links_.start()
+        self._follow()
+        self.log_.report(
+            Event.PROCESS_STARTED, role="entry", callers=str(settings.callers)
+        )
+
+    def _build_holders(self) -> None:
+        """Make the owners of what the store and other entries say."""
+        settings = self.settings
+        state = self.state_
         http = CurlAsyncHTTPClient(force_instance=True, max_clients=STORE_CLIENTS)
         self.client_ = ObjectsClient(
             url=settings.store_url, http=http, codec=self.objects, log=self.log_
         )
-        self._follow()
-        self.log_.report(
-            Event.PROCESS_STARTED, role="entry", callers=str(settings.callers)
+        self.config_ = ConfigHolder(
+            objects=self.objects, state=state, on_change=self._on_config
         )
+        self.listing_ = ListingHolder(
+            objects=self.objects,
+            state=state,
+            on_change=self.stages_.scheduler_.wake,
+        )
+        self.members_ = EntryMembers(
+            own=KnownEntry(settings.entry_id, str(settings.peers), settings.hall),
+            objects=self.objects,
+            client=self.client_,
+            random=self.random,
+            on_change=self._on_members,
+        )
+        self.links_ = EntryLinks(
+            entry_id=settings.entry_id,
+            address=settings.peers,
+            secret=settings.secret,
+            state=state,
+            stages=self.stages_,
+            random=self.random,
+            on_config=self.config_.apply,
+            on_listing=self.listing_.apply,
+            on_entries=self.members_.learn,
+        )
+        self.stages_.connect(self.links_, self.links_.pieces)
 
     def _listen_ready(self) -> None:
         application = web.Application(
@@ -164,36 +182,34 @@
             self.ready_server_.listen(metrics.port, address=metrics.host)
 
     def _follow(self) -> None:
-        handlers = {
-            self.objects.config_kind: (
-                self._on_configs,
-                self._on_config_event,
-                self._on_config_confirmed,
-            ),
-            self.objects.endpoints_kind: (
-                self._on_endpoints,
-                self._on_endpoint_event,
-                lambda revision: None,
-            ),
-            self.objects.entries_kind: (
-                self._on_entries,
-                self._on_entry_event,
-                lambda revision: None,
-            ),
+        """Follow the store, and keep the links to other entries up."""
+        owners_by_kind = {
+            self.objects.config_kind: self.config_,
+            self.objects.endpoints_kind: self.listing_,
+            self.objects.entries_kind: self.members_,
         }
-        for kind, (on_list, on_event, on_confirmed) in handlers.items():
+        for kind, owner in owners_by_kind.items():
             follower = KindFollower(
-                kind=kind,
-                client=self.client_,
-                random=self.random,
-                on_list=on_list,
-                on_event=on_event,
-                on_confirmed=on_confirmed,
+                kind=kind, client=self.client_, random=self.random, owner=owner
             )
-            self.tasks_.append(asyncio.create_task(follower.run()))
-        self.tasks_.append(asyncio.create_task(self.links_.run()))
-        self.tasks_.append(asyncio.create_task(self._announce()))
-        self.tasks_.append(asyncio.create_task(self._sweep()))
+            self._spawn(follower.run())
+        self._spawn(self.links_.run())
+        self._spawn(self.members_.announce())
+        self._spawn(self._sweep())
+
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        self.tasks_.append(asyncio.create_task(coroutine))
+
+    def _on_config(self, config: ForwardConfig) -> None:
+        """Follow another configuration in force."""
+        self.caller_server_.apply_limits(config.limits)
+        self.stages_.scheduler_.wake()
+
+    def _on_members(self, entries_by_id: dict[EntryId, KnownEntry]) -> None:
+        """Share the bounds of the fleet over the entries that exist."""
+        known = set(entries_by_id) | {self.settings.entry_id}
+        self.state_.set_entry_count(len(known))
+        self.links_.set_known_entries(entries_by_id)
 
     @property
     def is_ready(self) -> bool:
@@ -227,137 +243,6 @@
             detail="beyond the limits of the configuration",
         )
 
-    def _on_configs(self, listing: Listing) -> None:
-        for item in listing.items:
-            self._on_config(item)
-
-    def _on_config_event(self, event: ObjectEvent) -> None:
-        if not event.is_gone:
-            self._on_config(event.item)
-
-    def _on_config(self, item: dict) -> None:
-        if self.objects.object_name(item) != self.objects.config_name:
-            return
-        read = self.objects.read_config(item)
-        if isinstance(read, Failure):
-            self.log_.report(Event.CONFIG_UNREADABLE, error=str(read.failure())[:300])
-            return
-        self._apply_config(read.unwrap())
-
-    def _apply_config(self, config: ForwardConfig) -> None:
-        """Put a configuration in force unless it is older than the one in force."""
-        table = self.state_.table_
-        if table is not None and config.version <= table.config.version:
-            return
-        self.state_.table_ = RouteTable.from_config(config)
-        self.caller_server_.apply_limits(config.limits)
-        self.log_.report(
-            Event.CONFIG_IN_FORCE,
-            version=config.version,
-            before=table.config.version if table else 0,
-            routes=len(config.routes),
-        )
-        self.stages_.scheduler_.wake()
-
-    def _on_config_confirmed(self, revision: int) -> None:
-        if self.state_.table_ is not None:
-            self.state_.config_seen_at_ = self.state_.now()
-
-    def _on_endpoints(self, listing: Listing) -> None:
-        endpoints = []
-        for item in listing.items:
-            read = self.objects.read_endpoint(item)
-            if isinstance(read, Failure):
-                self.log_.report(Event.CONFIG_UNREADABLE, error=read.failure()[:300])
-                continue
-            endpoints.append(read.unwrap())
-        self._apply_listing(endpoints, listing.revision)
-
-    def _apply_listing(self, endpoints: list[ListedEndpoint], revision: int) -> None:
-        self._log_changes(
-            self.state_.roster_.replace(endpoints, revision, self.state_.now())
-        )
-
-    def _on_endpoint_event(self, event: ObjectEvent) -> None:
-        roster = self.state_.roster_
-        if event.is_gone:
-            name = self.objects.object_name(event.item)
-            revision = self.objects.object_revision(event.item)
-            changes = roster.remove(
-                name,
-                revision,
-                self.state_.now(),
-                seen_revision=event.seen_revision,
-            )
-            self._log_changes(changes)
-            return
-        read = self.objects.read_endpoint(event.item)
-        if isinstance(read, Failure):
-            self.log_.report(Event.CONFIG_UNREADABLE, error=read.failure()[:300])
-            return
-        self._log_changes(roster.put(read.unwrap()))
-
-    def _log_changes(self, changes: list) -> None:
-        for change in changes:
-            self.log_.report(
-                Event.ENDPOINT_LISTED,
-                endpoint=change.endpoint_id,
-                service=change.service_id,
-                before=change.before,
-                after=change.after,
-                revision=self.state_.roster_.changed_revision_,
-            )
-        if changes:
-            self.stages_.scheduler_.wake()
-
-    def _on_entries(self, listing: Listing) -> None:
-        self.has_listed_entries_ = True
-        self.entries_by_id_.clear()
-        for item in listing.items:
-            self._on_entry(item)
-        self._count_entries()
-
-    def _on_entry_event(self, event: ObjectEvent) -> None:
-        if event.is_gone:
-            self.entries_by_id_.pop(self.objects.object_name(event.item), None)
-        else:
-            self._on_entry(event.item)
-        self._count_entries()
-
-    def _on_entry(self, item: dict) -> None:
-        read = self.objects.read_entry(item)
-        if isinstance(read, Failure):
-            return
-        entry = read.unwrap()
-        self.entries_by_id_[entry.entry_id] = entry
-
-    def _learn_entries(self, entries: list[KnownEntry]) -> None:
-        """Believe a peer until the store has told which entries exist."""
-        if self.has_listed_entries_:
-            return
-        for entry in entries:
-            self.entries_by_id_.setdefault(entry.entry_id, entry)
-        self._count_entries()
-
-    def _count_entries(self) -> None:
-        known = set(self.entries_by_id_) | {self.settings.entry_id}
-        self.state_.set_entry_count(len(known))
-        self.links_.set_known_entries(self.entries_by_id_)
-
-    async def _announce(self) -> None:
-        """Write down in the store that this entry exists."""
-        settings = self.settings
-        kind = self.objects.entries_kind
-        body = self.objects.entry_object(
-            KnownEntry(settings.entry_id, str(settings.peers), settings.hall)
-        )
-        while True:
-            path = self.objects.object_path(kind, "")
-            made = await self.client_.call(path, method="POST", body=body)
-            if not isinstance(made, Failure) or made.failure() == STATUS_CONFLICT:
-                return
-            await asyncio.sleep(ANNOUNCE_WAIT_S * self.random.uniform(0.8, 1.6))
-
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
@@ -391,7 +276,7 @@
             waited = loop.time() - began_at >= DRAIN_MIN_S
             if waited and not self.caller_server_.exchanges_:
                 break
-        await self._retract()
+        await self.members_.retract()
         self.log_.report(
             Event.PROCESS_STOPPED, live=len(self.caller_server_.exchanges_)
         )
@@ -404,13 +289,3 @@
         for task in self.tasks_:
             task.cancel()
         self.links_.stop()
-
-    async def _retract(self) -> None:
-        path = self.objects.object_path(
-            self.objects.entries_kind, self.settings.entry_id
-        )
-        try:
-            async with asyncio.timeout(0.3):
-                await self.client_.call(path, method="DELETE")
-        except TimeoutError:
-            return
--- a/packages/leadford-server/src/leadford_server/forwarding/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stages.py
@@ -23,6 +23,7 @@
 from leadford.forwarding.routes import PieceLimits, ResultHandle, StageSpec
 from leadford_server.forwarding._groups import GroupChooser
 from leadford_server.forwarding._jobs import (
+    LiveEntries,
     ResultMaker,
     SchedulerLinks,
     SentPiece,
@@ -66,10 +67,10 @@
         )
         self.links: SchedulerLinks | None = None
 
-    def connect(self, links: SchedulerLinks) -> None:
+    def connect(self, live_entries: LiveEntries, links: SchedulerLinks) -> None:
         """Use links to other entries from now on."""
+        self.groups.live_entries = live_entries
         self.links = links
-        self.groups.links = links
         self.sent.links = links
 
     def open(self, job: StageJob) -> None:
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
@@ -459,7 +459,9 @@
 def test_entries_that_restart_in_turn_find_each_other_without_the_store():
     async def scenario(deployment):
         for entry in deployment.entries_:
-            await deployment.until(lambda entry=entry: len(entry.entries_by_id_) == 3)
+            await deployment.until(
+                lambda entry=entry: len(entry.members_.entries_by_id_) == 3
+            )
         deployment.store.fault = StoreFault.SILENT
         for number in (0, 1, 2, 0):
             entry = await deployment.restart_entry(number)
