--- a/packages/leadford-server/src/leadford_server/forwarding/_callers.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_callers.py
@@ -1,4 +1,9 @@
-"""Take requests from callers and write answers back, byte for byte."""
+"""Take requests from callers and write answers back, byte for byte.
+
+`CallerServer` listens, `CallerExchange` holds one request and its answer. What is
+beyond the limits of the configuration is answered here, before anything is decided;
+everything else goes to `serve`. Relies on tornado's HTTP/1 server for framing.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
--- a/packages/leadford-server/src/leadford_server/forwarding/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_connection.py
@@ -1,4 +1,10 @@
-"""Exchange requests and answers with one endpoint over one kept connection."""
+"""Exchange requests and answers with one endpoint over one kept connection.
+
+Matches answers to requests by their id, and says how much of a broken exchange may have
+happened (`BreakKind`): that decides whether a request may be sent again. A connection
+that holds bytes which belong to no answer is not used again. Relies on tornado's HTTP/1
+connection, because curl repeats requests by itself and hides such bytes.
+"""
 
 import asyncio
 import socket
--- a/packages/leadford-server/src/leadford_server/forwarding/_events.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_events.py
@@ -1,4 +1,8 @@
-"""Cut a stream of server-sent events into whole events."""
+"""Split a stream of server-sent events into whole events.
+
+Used by the relay of events: what has not arrived whole is not passed on, so that a
+stream that goes on at another endpoint repeats and tears nothing.
+"""
 
 import msgspec
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
@@ -1,4 +1,8 @@
-"""Have the stages of one request run, and keep what the request itself reads."""
+"""Have the stages of one request run, and keep what the request itself reads.
+
+Owns the job of one request, if its route has stages. When stages are given up, and when
+an engine has surely fetched its inputs, is decided in `leadford.forwarding.batching`.
+"""
 
 import asyncio
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
@@ -1,4 +1,8 @@
-"""Hold the stages of requests that run, and who has each of their pieces."""
+"""Hold the stages of requests that run, and who has each of their pieces.
+
+Types that `_stages` and its neighbours share, and what they need from the links to
+other entries.
+"""
 
 import asyncio
 from typing import Protocol
@@ -6,9 +10,14 @@
 import msgspec
 
 from leadford.common import EndpointId, EntryId, HallId, RequestId
-from leadford.forwarding.batching import GroupId, PieceGraph, PieceKey, PieceTask
+from leadford.forwarding.batching import (
+    GroupId,
+    PieceFailure,
+    PieceGraph,
+    PieceKey,
+    PieceTask,
+)
 from leadford.forwarding.routes import ResultHandle
-from leadford_server.forwarding._scheduler import PieceResult
 
 
 class StageFailure(Exception):
@@ -19,6 +28,23 @@
         self.detail = detail
 
 
+class PieceResult(msgspec.Struct, frozen=True):
+    """Hold what became of a piece, and at which endpoint.
+
+    `reason` is the text of a PieceFailure, perhaps with what is known of the cause,
+    where there is no result.
+    """
+
+    handle: ResultHandle | None
+    reason: str
+    endpoint_id: EndpointId | None
+
+    @property
+    def failure(self) -> PieceFailure:
+        """Return why there is no result."""
+        return PieceFailure.from_text(self.reason)
+
+
 class LiveEntries(Protocol):
     """Know which other entries live."""
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_news.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_news.py
@@ -88,6 +88,7 @@
                 self.listing_behind_since_ = None
 
     def send_entries(self, peer: PeerConnection) -> None:
+        """Tell a new peer which entries exist."""
         own = EntryAddress(self.own.entry_id, self.own.address, self.own.hall)
         known = [
             EntryAddress(entry.entry_id, entry.address, entry.hall)
--- a/packages/leadford-server/src/leadford_server/forwarding/_pieces.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pieces.py
@@ -17,8 +17,8 @@
     PieceSubmit,
     PieceWorking,
 )
+from leadford_server.forwarding._jobs import PieceResult
 from leadford_server.forwarding._peers import MessageHandlers
-from leadford_server.forwarding._scheduler import PieceResult
 from leadford_server.forwarding._stages import StageRunner
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.peers import PeerConnection
--- a/packages/leadford-server/src/leadford_server/forwarding/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pool.py
@@ -1,4 +1,8 @@
-"""Share kept connections to endpoints within the bound that each endpoint sets."""
+"""Share kept connections to endpoints within the bound that each endpoint sets.
+
+Owns every connection to an endpoint. The bound holds for all entries together, so each
+takes an equal part of it.
+"""
 
 import asyncio
 from collections import deque
--- a/packages/leadford-server/src/leadford_server/forwarding/_results.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_results.py
@@ -9,10 +9,8 @@
 
 from leadford.common import EndpointId, EntryId, HallId
 from leadford.forwarding.routes import ResultHandle
-from leadford_server.forwarding._jobs import ResultMaker
+from leadford_server.forwarding._jobs import ResultMaker, SchedulerLinks
 
-# Releases results through another entry; returns whether a connection to it stands.
-ReleaseElsewhere = Callable[[EntryId, EndpointId, list[ResultHandle]], bool]
 # Releases results of an endpoint from here.
 ReleaseHere = Callable[[EndpointId, list[ResultHandle]], None]
 
@@ -25,11 +23,10 @@
         *,
         entry_id: EntryId,
         release_here: ReleaseHere,
-        release_elsewhere: ReleaseElsewhere,
     ) -> None:
         self.entry_id = entry_id
         self.release_here = release_here
-        self.release_elsewhere = release_elsewhere
+        self.links: SchedulerLinks | None = None
         self.maker_by_handle_: dict[ResultHandle, ResultMaker] = {}
 
     def record(self, handle: ResultHandle, maker: ResultMaker) -> None:
@@ -64,6 +61,6 @@
     ) -> None:
         """Release results of one endpoint through the entry that accounts for them."""
         is_elsewhere = scheduler_id != self.entry_id
-        if is_elsewhere and self.release_elsewhere(scheduler_id, endpoint_id, handles):
+        if is_elsewhere and self.links.release(scheduler_id, endpoint_id, handles):
             return
         self.release_here(endpoint_id, handles)
--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -8,8 +8,6 @@
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
 
-import msgspec
-
 from leadford.common import EndpointId, EntryId
 from leadford.forwarding.batching import (
     CALL_INPUTS_READ_S,
@@ -28,6 +26,7 @@
 from leadford.forwarding.routes import ResultHandle, Service
 from leadford_server.forwarding._calls import CallEnd, PieceCall, PieceCalls
 from leadford_server.forwarding._free import ResultFreeing
+from leadford_server.forwarding._jobs import PieceResult
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.metrics import PIECE_CALLS_TOTAL, PIECES_TOTAL
 
@@ -41,23 +40,6 @@
 PIECE_DONE = "done"
 
 
-class PieceResult(msgspec.Struct, frozen=True):
-    """Hold what became of a piece, and at which endpoint.
-
-    `reason` is the text of a PieceFailure, perhaps with what is known of the cause,
-    where there is no result.
-    """
-
-    handle: ResultHandle | None
-    reason: str
-    endpoint_id: EndpointId | None
-
-    @property
-    def failure(self) -> PieceFailure:
-        """Return why there is no result."""
-        return PieceFailure.from_text(self.reason)
-
-
 Reply = Callable[[PieceTask, PieceResult], None]
 InputsRead = Callable[[list[PieceTask]], None]
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_sent.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_sent.py
@@ -8,11 +8,17 @@
 from collections.abc import Callable
 
 from leadford.common import EntryId
-from leadford.forwarding.batching import scheduler_limit_at
+from leadford.forwarding.batching import ENDPOINT_LOST, scheduler_limit_at
+from leadford.forwarding.endpoints import EndpointFailure
 from leadford.forwarding.routes import PieceLimits
 from leadford_server.forwarding._groups import GroupChooser
-from leadford_server.forwarding._jobs import SchedulerLinks, SentPiece, StageJob
-from leadford_server.forwarding._scheduler import BatchScheduler, PieceResult
+from leadford_server.forwarding._jobs import (
+    PieceResult,
+    SchedulerLinks,
+    SentPiece,
+    StageJob,
+)
+from leadford_server.forwarding._scheduler import BatchScheduler
 from leadford_server.forwarding._state import ForwardState
 
 # What the log says of a piece that its scheduler did not answer.
@@ -115,3 +121,17 @@
         else:
             self.scheduler.cancel(self.entry_id, {sent.task.correlation_id})
         self.on_lost(sent, PieceResult(None, reason, None))
+
+    def believe_lost(self, sent: SentPiece, answer: PieceResult) -> None:
+        """Believe another entry that an endpoint of its group did not answer."""
+        is_lost = answer.failure in ENDPOINT_LOST
+        if (
+            sent.scheduler_id == self.entry_id
+            or answer.endpoint_id is None
+            or not is_lost
+        ):
+            return
+        record = self.state.roster_.record(answer.endpoint_id)
+        now = self.state.now()
+        if record is not None and not record.is_suspect(now):
+            record.record_failure(now, EndpointFailure.LOST)
--- a/packages/leadford-server/src/leadford_server/forwarding/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stages.py
@@ -5,10 +5,9 @@
 piece that was not made is decided in `leadford.forwarding.batching`.
 """
 
-from leadford.common import EndpointId, EntryId, HallId
+from leadford.common import EntryId, HallId
 from leadford.events import Event
 from leadford.forwarding.batching import (
-    ENDPOINT_LOST,
     NO_ENDPOINT_WAIT_S,
     AdmittedBacklog,
     BacklogKey,
@@ -19,18 +18,18 @@
     RemakeAction,
     decide_remake,
 )
-from leadford.forwarding.endpoints import EndpointFailure
-from leadford.forwarding.routes import PieceLimits, ResultHandle, StageSpec
+from leadford.forwarding.routes import PieceLimits, StageSpec
 from leadford_server.forwarding._groups import GroupChooser
 from leadford_server.forwarding._jobs import (
     LiveEntries,
+    PieceResult,
     ResultMaker,
     SchedulerLinks,
     SentPiece,
     StageJob,
 )
 from leadford_server.forwarding._results import ResultLedger
-from leadford_server.forwarding._scheduler import BatchScheduler, PieceResult
+from leadford_server.forwarding._scheduler import BatchScheduler
 from leadford_server.forwarding._sent import SentPieces
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding._tasks import TaskMaker
@@ -54,7 +53,6 @@
         self.results = ResultLedger(
             entry_id=entry_id,
             release_here=self.scheduler_.release,
-            release_elsewhere=self._release_elsewhere,
         )
         self.backlog_ = AdmittedBacklog()
         self.tasks = TaskMaker(state=state, entry_id=entry_id, results=self.results)
@@ -72,6 +70,7 @@
         self.groups.live_entries = live_entries
         self.links = links
         self.sent.links = links
+        self.results.links = links
 
     def open(self, job: StageJob) -> None:
         """Count the pieces of a job that begins."""
@@ -156,7 +155,7 @@
         keys: list[PieceKey],
     ) -> None:
         now = self.state.now()
-        excluded = self._excluded(job, stage, keys)
+        excluded = self.tasks.excluded(job, stage, keys)
         group = self.groups.choose(
             stage,
             len(keys),
@@ -180,17 +179,6 @@
                 SentPiece(task, job, group, scheduler_id, 0.0), limits, now
             )
 
-    def _excluded(
-        self, job: StageJob, stage: StageSpec, keys: list[PieceKey]
-    ) -> frozenset[EndpointId]:
-        """Return the endpoints where pieces failed, unless no others are left."""
-        excluded = frozenset().union(
-            *(job.excluded_by_key_.get(key, frozenset()) for key in keys)
-        )
-        usable = self.state.usable(stage.service_id)
-        others = [r for r in usable if r.listed.endpoint_id not in excluded]
-        return excluded if others else frozenset()
-
     def _send_later(
         self,
         job: StageJob,
@@ -282,7 +270,7 @@
         if decision.action is RemakeAction.FAIL_TRIES:
             job.fail(f"piece failed {decision.tries} times: {answer.reason}")
             return
-        self._believe_lost(sent, answer)
+        self.sent.believe_lost(sent, answer)
         if answer.endpoint_id is not None and decision.excludes_endpoint:
             job.excluded_by_key_[key] = frozenset({answer.endpoint_id})
         self.state.log.report(
@@ -302,25 +290,3 @@
             self.state.loop.call_later(NO_ENDPOINT_WAIT_S, self._advance, job)
             return
         self._advance(job)
-
-    def _believe_lost(self, sent: SentPiece, answer: PieceResult) -> None:
-        """Believe another entry that an endpoint of its group did not answer."""
-        is_lost = answer.failure in ENDPOINT_LOST
-        if (
-            sent.scheduler_id == self.entry_id
-            or answer.endpoint_id is None
-            or not is_lost
-        ):
-            return
-        record = self.state.roster_.record(answer.endpoint_id)
-        now = self.state.now()
-        if record is not None and not record.is_suspect(now):
-            record.record_failure(now, EndpointFailure.LOST)
-
-    def _release_elsewhere(
-        self,
-        scheduler_id: EntryId,
-        endpoint_id: EndpointId,
-        handles: list[ResultHandle],
-    ) -> bool:
-        return self.links.release(scheduler_id, endpoint_id, handles)
--- a/packages/leadford-server/src/leadford_server/forwarding/_tasks.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_tasks.py
@@ -6,6 +6,7 @@
 
 from leadford.common import EndpointId, EntryId, HallId
 from leadford.forwarding.batching import PieceKey, PieceTask
+from leadford.forwarding.routes import StageSpec
 from leadford_server.forwarding._jobs import StageJob
 from leadford_server.forwarding._results import ResultLedger
 from leadford_server.forwarding._state import ForwardState
@@ -49,6 +50,17 @@
             near_bytes_by_hall=self.near_bytes_by_hall(job, key.stage),
         )
 
+    def excluded(
+        self, job: StageJob, stage: StageSpec, keys: list[PieceKey]
+    ) -> frozenset[EndpointId]:
+        """Return the endpoints where pieces failed, unless no others are left."""
+        excluded = frozenset().union(
+            *(job.excluded_by_key_.get(key, frozenset()) for key in keys)
+        )
+        usable = self.state.usable(stage.service_id)
+        others = [r for r in usable if r.listed.endpoint_id not in excluded]
+        return excluded if others else frozenset()
+
     def near_bytes_by_hall(self, job: StageJob, number: int) -> dict[HallId, int]:
         """Return what need not move between halls if a piece is made in one of them.
 
--- a/packages/leadford/src/leadford/forwarding/batching/_backlog.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_backlog.py
@@ -1,4 +1,8 @@
-"""Count the pieces that are admitted and not yet made, here and at other entries."""
+"""Count the pieces that are admitted and not yet made, here and at other entries.
+
+Written by the stages of requests and by heartbeats of other entries, read by admission.
+What another entry said long ago is left out, because it may be gone.
+"""
 
 from collections.abc import Iterable
 
--- a/packages/leadford/src/leadford/forwarding/batching/_capacity.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_capacity.py
@@ -1,4 +1,10 @@
-"""Follow the calls that this process has at each endpoint of a batched stage."""
+"""Follow the calls that this process has at each endpoint, and the room of its results.
+
+Owned by the scheduler of batches, read by the rule that fills calls. Room is an
+estimate: endpoints do not say what is left, so results are counted from their call
+until they are freed or end by themselves. Here also stands in which order endpoints get
+calls.
+"""
 
 from collections.abc import Iterable
 
--- a/packages/leadford/src/leadford/forwarding/batching/_queue.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_queue.py
@@ -1,4 +1,9 @@
-"""Queue the pieces that wait for a batch."""
+"""Queue the pieces that wait for a batch, and take those of the next call.
+
+Owned by the scheduler of a group. The order is by when requests are due, later for less
+urgent ones; a call takes whole requests where it can, and leaves pieces for the hall of
+their inputs while little waits. When a call leaves is decided in `_filling`.
+"""
 
 from collections.abc import Callable
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
@@ -1,4 +1,9 @@
-"""Choose the endpoint that is expected to answer first at the least cost."""
+"""Choose the endpoint that is expected to answer first at the least cost.
+
+Called for each attempt of a request to a service that is no model engine. It decides
+from work in flight and reported, failures, slowness beside others, and halls; suspects
+are asked only when nobody else is left. Among equals chance decides.
+"""
 
 from collections.abc import Collection
 from random import Random
--- a/packages/leadford/src/leadford/forwarding/endpoints/_model.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_model.py
@@ -1,4 +1,7 @@
-"""Describe endpoints as the platform lists them and as their answers report."""
+"""Describe endpoints as the platform lists them and as their answers report.
+
+Listed endpoints travel between entries by field name, so these names stay.
+"""
 
 from enum import Enum
 from typing import NewType
--- a/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -1,4 +1,10 @@
-"""Keep the endpoints of every service, in the order in which listings were made."""
+"""Keep the endpoints of every service, in the order in which listings were made.
+
+Written from the store and from peers, in any order of arrival; revisions decide what is
+newer. It also decides which endpoints take new work: those listed as ready, and for a
+short while those that were removed together with most of their service, because a store
+that was away forgets endpoints that still work.
+"""
 
 from collections.abc import Iterable
 
--- a/packages/leadford/src/leadford/forwarding/retries/_budget.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_budget.py
@@ -1,4 +1,8 @@
-"""Bound repeats over a sliding window, as one share of a fleet's common budget."""
+"""Bound further attempts over a sliding window, as a share of a fleet's budget.
+
+One budget a service, held by each entry; `_decision` spends it. The settings of the
+deployment give ratio, slack and window.
+"""
 
 from collections import deque
 
--- a/packages/leadford/src/leadford/forwarding/routes/_model.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_model.py
@@ -1,4 +1,8 @@
-"""Hold the configuration of forwarded routes."""
+"""Hold the configuration of forwarded routes.
+
+Decoded from the platform's store by the adapter. Entries send each other the whole
+configuration by field name, so these names stay.
+"""
 
 from enum import Enum
 from typing import NewType
--- a/packages/leadford/src/leadford/forwarding/routes/_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_table.py
@@ -1,4 +1,9 @@
-"""Look up the route and the workspace of a request."""
+"""Look up the route and the workspace of a request.
+
+Answers from one version of the configuration: the longest prefix of the path for the
+host, the workspace of the key, one of the route's services drawn by weight. What
+follows from a failed look-up is decided in `_denial`.
+"""
 
 from enum import Enum
 from random import Random
