--- a/packages/leadford-server/src/leadford_server/forwarding/_calls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_calls.py
@@ -18,8 +18,8 @@
 )
 from leadford.forwarding.endpoints import EndpointFailure, EndpointRecord
 from leadford.forwarding.routes import PieceLimits, Service
-from leadford_server.forwarding._connection import ExchangeBroken
 from leadford_server.forwarding._contract import NotRunCause, PieceOutcome
+from leadford_server.forwarding._reader import ExchangeBroken
 from leadford_server.forwarding._state import ForwardState
 
 STATUS_OK = 200
--- a/packages/leadford-server/src/leadford_server/forwarding/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_connection.py
@@ -1,16 +1,13 @@
 """Exchange requests and answers with one endpoint over one kept connection.
 
-Matches answers to requests by their id, and says how much of a broken exchange may have
-happened (`BreakKind`): that decides whether a request may be sent again. A connection
-that holds bytes which belong to no answer is not used again. Relies on tornado's HTTP/1
+Matches answers to requests by their id; `_reader` collects them. A connection that
+holds bytes which belong to no answer is not used again. Relies on tornado's HTTP/1
 connection, because curl repeats requests by itself and hides such bytes.
 """
 
 import asyncio
 import socket
-from enum import Enum
 
-import msgspec
 from tornado import http1connection, httputil, iostream
 from tornado.iostream import IOStream
 
@@ -20,6 +17,12 @@
     OutboundRequest,
     RequestCodec,
 )
+from leadford_server.forwarding._reader import (
+    AnswerReader,
+    BreakKind,
+    ExchangeBroken,
+    LiveAnswer,
+)
 
 # Bytes that an answer of an endpoint, and its head, may have; not measured.
 ANSWER_BYTES_MAX = 64 * 1024 * 1024
@@ -31,23 +34,6 @@
 SILENCE_MS = 2_500
 
 
-class BreakKind(Enum):
-    """Say how much of an exchange may have happened."""
-
-    NOT_SENT = "not-sent"
-    LOST = "lost"
-    SPOILED = "spoiled"
-
-
-class ExchangeBroken(Exception):
-    """Tell that an exchange ended without a whole answer."""
-
-    def __init__(self, kind: BreakKind, detail: str) -> None:
-        super().__init__(f"{kind.value}: {detail}")
-        self.kind = kind
-        self.detail = detail
-
-
 class WatchedStream(IOStream):
     """Notice bytes that arrive while no answer is due."""
 
@@ -68,79 +54,6 @@
         return self._read_buffer_size > 0
 
 
-class AnswerReader(httputil.HTTPMessageDelegate):
-    """Collect one answer as it arrives."""
-
-    def __init__(self, *, codec: RequestCodec) -> None:
-        self.codec = codec
-        self.head_: AnswerHead | None = None
-        self.chunks_: list[bytes] = []
-        self.is_complete_ = False
-        self.is_broken_ = False
-        self.is_framed_ = True
-        self.changed_ = asyncio.Event()
-
-    def headers_received(
-        self, start_line: httputil.ResponseStartLine, headers: httputil.HTTPHeaders
-    ) -> None:
-        """Record the head; interim answers are skipped."""
-        if start_line.code < 200:
-            return
-        self.is_framed_ = "Content-Length" in headers or "Transfer-Encoding" in headers
-        self.head_ = self.codec.read_answer(
-            start_line.code, start_line.reason, list(headers.get_all())
-        )
-        self.changed_.set()
-
-    def data_received(self, chunk: bytes) -> None:
-        """Record a part of the body."""
-        self.chunks_.append(chunk)
-        self.changed_.set()
-
-    def finish(self) -> None:
-        """Record that the answer is whole as far as its framing tells."""
-        self.is_complete_ = True
-        self.changed_.set()
-
-    def on_connection_close(self) -> None:
-        """Record that the connection ended inside the answer."""
-        self.is_broken_ = True
-        self.changed_.set()
-
-    def take(self) -> bytes:
-        """Return and forget the body received so far."""
-        data = b"".join(self.chunks_)
-        self.chunks_.clear()
-        return data
-
-
-class LiveAnswer(msgspec.Struct):
-    """Hold an answer whose head has arrived and whose body may still come."""
-
-    head: AnswerHead
-    reader: AnswerReader
-    reading: asyncio.Task
-
-    async def wait_whole(self) -> None:
-        """Wait for the end of the body; raises ExchangeBroken with LOST."""
-        reader = self.reader
-        while not reader.is_complete_ and not reader.is_broken_:
-            reader.changed_.clear()
-            await reader.changed_.wait()
-        if reader.is_broken_:
-            raise ExchangeBroken(BreakKind.LOST, "broken off inside the answer")
-
-    async def wait_more(self) -> bytes:
-        """Return the next part of the body; empty at its end."""
-        reader = self.reader
-        while True:
-            data = reader.take()
-            if data or reader.is_complete_ or reader.is_broken_:
-                return data
-            reader.changed_.clear()
-            await reader.changed_.wait()
-
-
 class EndpointConnection:
     """Hold one connection to an endpoint; it carries one exchange at a time."""
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_free.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_free.py
@@ -12,7 +12,7 @@
 from leadford.forwarding.batching import CapacityTable, GroupId
 from leadford.forwarding.endpoints import EndpointRecord
 from leadford.forwarding.routes import ResultHandle, Service
-from leadford_server.forwarding._connection import ExchangeBroken
+from leadford_server.forwarding._reader import ExchangeBroken
 from leadford_server.forwarding._state import ForwardState
 
 # Seconds that results are collected before they are freed; commits dceba7c and 33a2606,
--- a/packages/leadford-server/src/leadford_server/forwarding/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pool.py
@@ -9,9 +9,7 @@
 
 from leadford.common import EndpointId
 from leadford.forwarding.endpoints import EndpointAddress, EndpointRecord
-from leadford_server.forwarding._connection import (
-    EndpointConnection,
-)
+from leadford_server.forwarding._connection import EndpointConnection
 from leadford_server.forwarding._contract import RequestCodec
 from leadford_server.metrics import CONNECTIONS_OPENED_TOTAL
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_stream.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stream.py
@@ -11,9 +11,9 @@
 from leadford.forwarding.retries import AttemptEnd
 from leadford_server.forwarding._answer import STATUS_OK, CallerAnswer
 from leadford_server.forwarding._attempts import Attempt, EndpointAttempts, NotRun
-from leadford_server.forwarding._connection import ExchangeBroken
 from leadford_server.forwarding._inputs import RequestInputs
 from leadford_server.forwarding._progress import RequestProgress
+from leadford_server.forwarding._reader import ExchangeBroken
 from leadford_server.forwarding._relay import EventRelay
 from leadford_server.forwarding._state import ForwardState
 
