--- a/packages/leadford-server/src/leadford_server/logs/_events.py
+++ b/packages/leadford-server/src/leadford_server/logs/_events.py
@@ -1,4 +1,8 @@
-"""Write events to the log, the journal and the metrics."""
+"""Write events to the log, the journal and the metrics.
+
+One line of JSON an event, with its number in the catalogue (docs/EVENTS.md). The
+journal keeps the last events in memory for operators' queries.
+"""
 
 import json
 import time
--- a/packages/leadford-server/src/leadford_server/metrics/_metrics.py
+++ b/packages/leadford-server/src/leadford_server/metrics/_metrics.py
@@ -1,4 +1,8 @@
-"""Define the metrics and the page that shows them."""
+"""Define the metrics and the page that shows them.
+
+All metrics of both programs stand here, so that a name is used once; a program counts
+in those that it has a use for.
+"""
 
 from prometheus_client import (
     CONTENT_TYPE_LATEST,
--- a/packages/leadford-server/src/leadford_server/peers/_connection.py
+++ b/packages/leadford-server/src/leadford_server/peers/_connection.py
@@ -1,4 +1,9 @@
-"""Carry messages over one authenticated websocket."""
+"""Carry messages over one authenticated websocket.
+
+Used by every program for its links to other processes. Each frame carries the version
+of the sender's configuration and the messages that waited; a peer that does not read,
+or that sends what is no message, is cut off. Handlers decide what messages mean.
+"""
 
 import asyncio
 from collections import deque
@@ -15,9 +20,12 @@
 from leadford_server.logs import EventLog
 from leadford_server.metrics import PEER_BYTES_TOTAL, PEER_FRAMES_TOTAL
 
+# Bytes and messages that a frame holds at most; not measured.
 FRAME_BYTES_MAX = 8 * 1024 * 1024
 FRAME_MESSAGES_MAX = 64
+# Messages that wait for a peer before it is cut off; not measured.
 OUTBOX_MAX = 20_000
+# Seconds that each step of the handshake may take; not measured.
 HANDSHAKE_S = 5.0
 
 _FRAMES_SENT = PEER_FRAMES_TOTAL.labels(direction="sent")
--- a/packages/leadford-server/src/leadford_server/peers/_dialer.py
+++ b/packages/leadford-server/src/leadford_server/peers/_dialer.py
@@ -1,4 +1,9 @@
-"""Keep a connection to one peer, and connect again when it is lost."""
+"""Keep a connection to one peer, and connect again when it is lost.
+
+Owns one outgoing connection; waits longer after each failed try, with jitter. Why a
+peer could not be reached is not logged here: `unreachable` tells the owner, and the end
+of a connection that stood is logged by its handler.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -17,8 +22,12 @@
 )
 from leadford_server.peers._handshake import Identity, connect
 
+# Seconds that a connection may take; not measured.
 OPEN_S = 2.0
+# Seconds between pings, and until an unanswered one ends the connection; not measured.
 PING_S = 10.0
+# Seconds before connecting again, doubled with each failed try up to the most; neither
+# was measured.
 WAIT_MIN_S = 0.1
 WAIT_MAX_S = 2.0
 
--- a/packages/leadford-server/src/leadford_server/peers/_handshake.py
+++ b/packages/leadford-server/src/leadford_server/peers/_handshake.py
@@ -1,4 +1,8 @@
-"""Agree on a protocol version and prove the shared secret in both directions."""
+"""Agree on a protocol version and prove the shared secret in both directions.
+
+Both sides challenge each other with a nonce before any other message passes; proofs are
+made in `leadford.protocol`.
+"""
 
 import asyncio
 from random import Random
--- a/packages/leadford-server/src/leadford_server/peers/_server.py
+++ b/packages/leadford-server/src/leadford_server/peers/_server.py
@@ -1,4 +1,8 @@
-"""Accept connections from peers."""
+"""Accept connections from peers.
+
+Owns the listening socket; each connection that passes the handshake is served by a
+`PeerConnection`, one that does not is logged (event 202) and dropped.
+"""
 
 from collections.abc import Callable
 from random import Random
@@ -17,6 +21,7 @@
 from leadford_server.peers._handshake import Identity, accept
 from leadford_server.settings import SocketAddress
 
+# Seconds between pings, and until an unanswered one ends the connection; not measured.
 PING_S = 10.0
 
 
--- a/packages/leadford-server/src/leadford_server/settings/_model.py
+++ b/packages/leadford-server/src/leadford_server/settings/_model.py
@@ -1,4 +1,8 @@
-"""Define the settings of each role and check them whole."""
+"""Define the settings of each role of the own interface and check them whole.
+
+Every fault is reported with its flag and variable, not only the first. `SocketAddress`
+is used by the forwarding entry too, whose settings the platform's adapter reads.
+"""
 
 import ipaddress
 import re
@@ -7,6 +11,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
+# Bytes that the secret of a fleet must have; not measured.
 SECRET_BYTES_MIN = 16
 NAME = re.compile(r"^[a-z0-9][a-z0-9_.-]{0,62}$")
 STORE_URL = re.compile(r"^http://[0-9.\[\]:a-fA-F]+$")
--- a/packages/leadford-server/src/leadford_server/web/_fetch.py
+++ b/packages/leadford-server/src/leadford_server/web/_fetch.py
@@ -7,6 +7,7 @@
     HTTPResponse,
 )
 
+# The status that tornado's client gives where no answer came; never on the wire.
 NO_ANSWER = 599
 
 
--- a/packages/leadford/src/leadford/common/_estimates.py
+++ b/packages/leadford/src/leadford/common/_estimates.py
@@ -1,4 +1,7 @@
-"""Keep running estimates: moving averages and token buckets."""
+"""Keep running estimates: moving averages and token buckets.
+
+Used by rules of both programs; moments are passed in.
+"""
 
 
 class Ewma:
--- a/packages/leadford/src/leadford/common/_registry.py
+++ b/packages/leadford/src/leadford/common/_registry.py
@@ -1,4 +1,7 @@
-"""Provide registries of named variants, filled by decorators."""
+"""Provide registries of named variants, filled by decorators.
+
+A configuration names a variant; an unknown name lists those that are known.
+"""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
--- a/packages/leadford/src/leadford/events/_catalogue.py
+++ b/packages/leadford/src/leadford/events/_catalogue.py
@@ -1,4 +1,8 @@
-"""Catalogue every event with its number, severity and meaning."""
+"""Number the events that processes log.
+
+Numbers and names are seen from outside and never change; docs/EVENTS.md says what each
+means, and a test holds both equal.
+"""
 
 from enum import Enum
 
--- a/packages/leadford/src/leadford/events/_journal.py
+++ b/packages/leadford/src/leadford/events/_journal.py
@@ -4,6 +4,7 @@
 
 from leadford.events._catalogue import Event, EventRecord
 
+# Events that are kept for operators' queries; not measured.
 RECORDS_KEPT = 500
 
 
--- a/packages/leadford/src/leadford/protocol/_auth.py
+++ b/packages/leadford/src/leadford/protocol/_auth.py
@@ -3,6 +3,7 @@
 import hmac
 from random import Random
 
+# Bytes of a nonce; not measured.
 NONCE_BYTES = 16
 
 
--- a/packages/leadford/src/leadford/protocol/_messages.py
+++ b/packages/leadford/src/leadford/protocol/_messages.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+# Versions of the protocol that this process speaks.
 PROTOCOL_VERSION = 1
 PROTOCOL_VERSION_MIN = 1
 
