--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
@@ -513,10 +513,10 @@
             far.endpoint_id, known.listed.revision, first.state_.now() - 10.0
         )
         await asyncio.sleep(1.2)
-        before = first.stages_.next_id_
+        before = first.stages_.sent.next_id_
         sent = asyncio.ensure_future(deployment.send("/once/x", request_id="r1"))
         await asyncio.sleep(0.5)
-        assert 0 < first.stages_.next_id_ - before < 20
+        assert 0 < first.stages_.sent.next_id_ - before < 20
         deployment.store.put("servers", far.endpoint_id, far.spec())
         assert event_ids((await sent).body) == [1, 2, 3, 4, 5]
 
@@ -536,7 +536,7 @@
             exchange._on_caller_left()
         await deployment.until(lambda: any(e.left_early_ for e in deployment.engines))
         sent.cancel()
-        assert deployment.entries_[0].stages_.sent_by_id_ == {}
+        assert deployment.entries_[0].stages_.sent.sent_by_id_ == {}
 
     run(scenario)
 
