--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -178,6 +178,8 @@
         """Do what the rule says next; return whether to ask it again at once."""
         queue = self.queues_by_group_[group]
         step = next_call(queue, self.capacities_, records, service.pieces, now)
+        if step.action is FillAction.NOTHING_WAITS:
+            return False
         if step.action is FillAction.SEND:
             tasks = list(step.tasks)
             self._begin(
--- a/packages/leadford/src/leadford/forwarding/batching/_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_filling.py
@@ -31,6 +31,7 @@
 class FillAction(Enum):
     """Say what the scheduler of a group does next."""
 
+    NOTHING_WAITS = "nothing-waits"
     SEND = "send"
     WAIT_FOR_MORE = "wait-for-more"
     LOOK_AGAIN = "look-again"
@@ -61,10 +62,12 @@
     limits: PieceLimits,
     now: float,
 ) -> NextCall:
-    """Return the next call of a group whose queue is not empty, and take its pieces.
+    """Return the next call of a group, and take its pieces from the queue.
 
     `records` are the usable endpoints of the group, of which there is at least one.
     """
+    if len(queue) == 0:
+        return NextCall(FillAction.NOTHING_WAITS)
     wait_s = queue.window_ends_at(limits) - now
     if wait_s > 0.0:
         return NextCall(FillAction.WAIT_FOR_MORE, wait_s=wait_s)
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
@@ -72,6 +72,11 @@
     )
 
 
+def test_nothing_is_waited_for_while_no_piece_waits():
+    step = next_call(PieceQueue(), CapacityTable(), [record()], LIMITS, 0.0)
+    assert step.action is FillAction.NOTHING_WAITS
+
+
 def test_a_call_that_is_not_full_waits_while_its_requests_have_time():
     queue = fill(tasks(2, due_at=20.0))
     step = next_call(queue, CapacityTable(), [record()], LIMITS, 0.0)
