--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -11,8 +11,9 @@
 
 from leadford.common import EntryId, HallId
 from leadford.events import Event
-from leadford.forwarding.batching import GroupId, schedulers_in_order
+from leadford.forwarding.batching import GroupId
 from leadford.forwarding.endpoints import ListedEndpoint
+from leadford.forwarding.membership import is_live, is_silent, wanted_peers
 from leadford.forwarding.routes import ForwardConfig
 from leadford.protocol import EntryHeartbeat, Message
 from leadford_server.forwarding._contract import KnownEntry
@@ -29,15 +30,6 @@
 # dceba7c, not measured.
 HEARTBEAT_S = 0.2
 HEARTBEAT_SPREAD = (0.9, 1.1)
-# Seconds after its last message for which an entry counts as alive; commit dceba7c, not
-# measured.
-LIVE_S = 0.9
-# Times of that, after which a silent peer is disconnected; not measured.
-SILENT_TIMES = 3
-# Next entries in the order of ids that a link is held to; commit dceba7c, not measured.
-RELAYS = 2
-# First candidates for each group that a link is held to; commit dceba7c, not measured.
-CANDIDATES = 2
 
 
 class EntryLinks:
@@ -131,15 +123,7 @@
         """Return the entries to hold links to."""
         halls = {entry.entry_id: entry.hall for entry in self.entries_by_id_.values()}
         halls[self.entry_id] = self.state.hall
-        wanted: set[EntryId] = set()
-        for group in self._groups():
-            order = schedulers_in_order(group, halls, self.state.regions)
-            wanted.update(order[:CANDIDATES])
-        ring = sorted(halls)
-        here = ring.index(self.entry_id)
-        wanted.update(ring[(here + step) % len(ring)] for step in range(1, RELAYS + 1))
-        wanted.discard(self.entry_id)
-        return wanted
+        return wanted_peers(self.entry_id, halls, self._groups(), self.state.regions)
 
     def _groups(self) -> set[GroupId]:
         table = self.state.table_
@@ -178,7 +162,7 @@
         now = self.state.now()
         message = self.heartbeats.make(self._groups(), is_draining=self.is_draining_)
         for entry_id, peer in list(self.peers_by_id_.items()):
-            if now - self.heard_at_by_id_.get(entry_id, now) > SILENT_TIMES * LIVE_S:
+            if is_silent(self.heard_at_by_id_.get(entry_id, now), now):
                 # Nothing has come for long: the other side is gone without a word.
                 peer.abort()
                 continue
@@ -188,7 +172,7 @@
         """Tell whether an entry was heard a short while ago."""
         if entry_id not in self.peers_by_id_:
             return False
-        return now - self.heard_at_by_id_.get(entry_id, -LIVE_S) < LIVE_S
+        return is_live(self.heard_at_by_id_.get(entry_id), now)
 
     def halls_by_live_entry(self) -> dict[EntryId, HallId]:
         """Return the entries that are known to be alive, without this one."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_news.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_news.py
@@ -12,6 +12,7 @@
 from leadford.common import EntryId, HallId
 from leadford.events import Event
 from leadford.forwarding.endpoints import ListedEndpoint
+from leadford.forwarding.membership import Staleness
 from leadford.forwarding.routes import ForwardConfig
 from leadford.protocol import (
     EntryAddress,
@@ -27,9 +28,6 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.peers import PeerConnection
 
-# Seconds for which a peer must know better before it is asked; commit dceba7c, not
-# measured.
-BEHIND_S = 0.3
 # Characters of a decoding error that a log line holds.
 ERROR_LOGGED = 200
 
@@ -53,8 +51,8 @@
         self.on_config = on_config
         self.on_listing = on_listing
         self.on_entries = on_entries
-        self.behind_since_: float | None = None
-        self.listing_behind_since_: float | None = None
+        self.config_staleness_ = Staleness()
+        self.listing_staleness_ = Staleness()
 
     def handlers(self) -> MessageHandlers:
         """Return what handles each kind of message here."""
@@ -75,17 +73,12 @@
         self, peer: PeerConnection, message: EntryHeartbeat, now: float
     ) -> None:
         """Ask a peer that has known better for a while."""
-        if peer.peer_config_version_ > self.version():
-            self.behind_since_ = self.behind_since_ or now
-            if now - self.behind_since_ >= BEHIND_S or self.version() == 0:
-                peer.send(ForwardConfigRequest(self.version()))
-                self.behind_since_ = None
+        version = self.version()
+        if self.config_staleness_.must_ask(version, peer.peer_config_version_, now):
+            peer.send(ForwardConfigRequest(version))
         revision = self.state.roster_.changed_revision_
-        if message.listing_revision > revision:
-            self.listing_behind_since_ = self.listing_behind_since_ or now
-            if now - self.listing_behind_since_ >= BEHIND_S or revision == 0:
-                peer.send(ListingRequest(revision))
-                self.listing_behind_since_ = None
+        if self.listing_staleness_.must_ask(revision, message.listing_revision, now):
+            peer.send(ListingRequest(revision))
 
     def send_entries(self, peer: PeerConnection) -> None:
         """Tell a new peer which entries exist."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_pool.py
@@ -8,20 +8,18 @@
 from collections import deque
 
 from leadford.common import EndpointId
-from leadford.forwarding.endpoints import EndpointAddress, EndpointRecord
+from leadford.forwarding.endpoints import (
+    EndpointAddress,
+    EndpointRecord,
+    connections_allowed,
+    may_use_again,
+)
 from leadford_server.forwarding._connection import EndpointConnection
 from leadford_server.forwarding._contract import RequestCodec
 from leadford_server.metrics import CONNECTIONS_OPENED_TOTAL
 
-# Part of an endpoint's bound that all entries together hold at most; not measured.
-CONNECTIONS_PART = 0.95
 # Seconds that a connection may take; not measured.
 CONNECT_S = 0.35
-# Seconds that a connection rests where the endpoint says nothing; not measured.
-REST_DEFAULT_S = 8.0
-# Seconds before an endpoint closes a resting connection at which it is not used any
-# more; not measured.
-REST_MARGIN_S = 0.6
 
 
 class _EndpointConnections:
@@ -43,11 +41,6 @@
         self.connections_by_id_: dict[EndpointId, _EndpointConnections] = {}
         self.entry_count_ = 1
 
-    def allowance(self, connections_max: int) -> int:
-        """Return how many connections this entry may hold to one endpoint."""
-        bound = int(connections_max * CONNECTIONS_PART)
-        return max(1, bound // max(1, self.entry_count_))
-
     async def acquire(
         self, record: EndpointRecord, connections_max: int
     ) -> EndpointConnection:
@@ -61,7 +54,8 @@
             kept = self._take_idle(connections)
             if kept is not None:
                 return kept
-            if connections.open_ < self.allowance(connections_max):
+            allowed = connections_allowed(connections_max, self.entry_count_)
+            if connections.open_ < allowed:
                 return await self._open(connections)
             waiter = self.loop.create_future()
             connections.waiters_.append(waiter)
@@ -145,6 +139,4 @@
 
 def _is_fresh(connection: EndpointConnection, now: float) -> bool:
     """Tell whether a connection has rested for less than its endpoint allows."""
-    rest_s = connection.rest_s_
-    allowed_s = REST_DEFAULT_S if rest_s is None else rest_s - REST_MARGIN_S
-    return now - connection.idle_since_ < allowed_s
+    return may_use_again(now - connection.idle_since_, connection.rest_s_)
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -18,6 +18,7 @@
 from leadford.forwarding.admission import ForwardAdmission
 from leadford.forwarding.answers import RequestOutcome
 from leadford.forwarding.batching import RegionMap
+from leadford.forwarding.membership import may_stop, stop_ends_at
 from leadford.forwarding.routes import ForwardConfig
 from leadford_server.forwarding._callers import CallerExchange, CallerServer
 from leadford_server.forwarding._config import ConfigHolder
@@ -37,12 +38,8 @@
 from leadford_server.metrics import MetricsHandler
 from leadford_server.settings import SocketAddress
 
-# Seconds that a planned stop takes at least; not measured.
-DRAIN_MIN_S = 3.2
 # Seconds between looks whether requests are left; not measured.
 DRAIN_POLL_S = 0.05
-# Seconds before the end of the grace period at which a stop ends; not measured.
-DRAIN_MARGIN_S = 0.6
 # Seconds between sweeps of connections and records; not measured.
 SWEEP_S = 0.5
 # Calls to the store at a time; not measured.
@@ -270,11 +267,10 @@
         self.log_.report(
             Event.PROCESS_DRAINING, live=len(self.caller_server_.exchanges_)
         )
-        ends_at = began_at + self.settings.bounds.grace_s - DRAIN_MARGIN_S
+        ends_at = stop_ends_at(began_at, self.settings.bounds.grace_s)
         while loop.time() < ends_at:
             await asyncio.sleep(DRAIN_POLL_S)
-            waited = loop.time() - began_at >= DRAIN_MIN_S
-            if waited and not self.caller_server_.exchanges_:
+            if may_stop(loop.time() - began_at, len(self.caller_server_.exchanges_)):
                 break
         await self.members_.retract()
         self.log_.report(
--- a/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
@@ -1,6 +1,10 @@
 """Know the endpoints of each service: what is listed, what is observed, whom to ask."""
 
 from leadford.forwarding.endpoints._choice import ChoicePolicy, EndpointChooser
+from leadford.forwarding.endpoints._connections import (
+    connections_allowed,
+    may_use_again,
+)
 from leadford.forwarding.endpoints._engines import (
     EngineChooser,
     PromptPart,
@@ -31,4 +35,6 @@
     "PromptShape",
     "ReportedLoad",
     "RosterChange",
+    "connections_allowed",
+    "may_use_again",
 ]
--- /dev/null
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_connections.py
@@ -0,0 +1,24 @@
+"""Connections stay within the bound of an endpoint and are not used near their end."""
+
+import pytest
+
+from leadford.forwarding.endpoints import connections_allowed, may_use_again
+
+
+@pytest.mark.parametrize(
+    "connections_max, entries, allowed",
+    [(100, 1, 95), (100, 4, 23), (100, 0, 95), (3, 4, 1), (1, 1, 1)],
+)
+def test_entries_share_the_bound_of_an_endpoint(connections_max, entries, allowed):
+    assert connections_allowed(connections_max, entries) == allowed
+
+
+def test_a_connection_is_not_used_shortly_before_its_endpoint_closes_it():
+    assert may_use_again(4.3, 5.0)
+    assert not may_use_again(4.4, 5.0)
+    assert not may_use_again(0.0, 0.5)
+
+
+def test_where_the_endpoint_says_nothing_a_connection_rests_for_eight_seconds():
+    assert may_use_again(7.9, None)
+    assert not may_use_again(8.0, None)
--- /dev/null
+++ b/packages/leadford/src/leadford/forwarding/membership/_peers.py
@@ -0,0 +1,34 @@
+"""Decide to which other entries an entry holds links.
+
+These are the first candidates to schedule each group, because pieces go to them, and
+the next entries in the order of ids, so that news reaches every entry. The number of
+links does not grow with the fleet. Which links stand is left to the caller.
+"""
+
+from collections.abc import Iterable
+
+from leadford.common import EntryId, HallId
+from leadford.forwarding.batching import GroupId, RegionMap, schedulers_in_order
+
+# Next entries in the order of ids that a link is held to; commit dceba7c, not measured.
+RELAYS = 2
+# First candidates for each group that a link is held to; commit dceba7c, not measured.
+CANDIDATES = 2
+
+
+def wanted_peers(
+    own: EntryId,
+    halls_by_entry: dict[EntryId, HallId],
+    groups: Iterable[GroupId],
+    regions: RegionMap,
+) -> set[EntryId]:
+    """Return the entries to hold links to; `halls_by_entry` holds this one too."""
+    wanted: set[EntryId] = set()
+    for group in groups:
+        order = schedulers_in_order(group, halls_by_entry, regions)
+        wanted.update(order[:CANDIDATES])
+    ring = sorted(halls_by_entry)
+    here = ring.index(own)
+    wanted.update(ring[(here + step) % len(ring)] for step in range(1, RELAYS + 1))
+    wanted.discard(own)
+    return wanted
