--- a/packages/leadford-server/src/leadford_server/forwarding/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/__init__.py
@@ -14,6 +14,7 @@
     OutboundRequest,
     PieceOutcome,
     RequestCodec,
+    StoreFailure,
 )
 from leadford_server.forwarding._process import ForwardProcess, ForwardSettings
 from leadford_server.forwarding._state import ForwardBounds
@@ -35,4 +36,5 @@
     "OutboundRequest",
     "PieceOutcome",
     "RequestCodec",
+    "StoreFailure",
 ]
--- a/packages/leadford-server/src/leadford_server/forwarding/_answer.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_answer.py
@@ -80,7 +80,7 @@
         body = attempt.answer.reader.take()
         if self.progress.first_byte_at_ is None:
             self.progress.first_byte_at_ = self.state.now()
-        if not may_pass_on(head.status):
+        if not may_pass_on(head.status, self.state.codec.not_run_statuses):
             detail = f"endpoint answered {head.status}"
             self.end(EndReason.MISLEADING_STATUS, detail)
             return
--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -156,6 +156,8 @@
     """Read and write the messages between callers, entries and endpoints."""
 
     ready_path: str
+    # To a caller these say that nothing ran.
+    not_run_statuses: frozenset[int]
 
     def read_request(
         self, method: str, target: str, headers: HeaderList, now: float
@@ -185,6 +187,20 @@
         """Return the call that release results."""
 
 
+class StoreFailure(Enum):
+    """Say why a call to the store did nothing, or may have done nothing.
+
+    CONFLICT: the object is there already. HISTORY_GONE: changes since the revision
+    asked for are not kept any more. NOT_FOUND: there is no such object. UNAVAILABLE:
+    the store did not answer, or turned the call away.
+    """
+
+    CONFLICT = "conflict"
+    HISTORY_GONE = "history-gone"
+    NOT_FOUND = "not-found"
+    UNAVAILABLE = "unavailable"
+
+
 class ObjectCodec(Protocol):
     """Name and read the objects of the platform's store."""
 
@@ -202,6 +218,9 @@
     def object_path(self, kind: str, name: str) -> str:
         """Return the path of one object."""
 
+    def read_failure(self, status: int) -> StoreFailure:
+        """Return what the status of a failed call says."""
+
     def read_list(self, body: bytes) -> Result[ObjectList, str]:
         """Return a page of objects."""
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_follow.py
@@ -13,7 +13,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
 from leadford.events import Event
-from leadford_server.forwarding._contract import ObjectCodec, ObjectEvent
+from leadford_server.forwarding._contract import ObjectCodec, ObjectEvent, StoreFailure
 from leadford_server.logs import EventLog
 from leadford_server.metrics import STORE_CALLS_TOTAL
 from leadford_server.web import fetch
@@ -32,8 +32,8 @@
 # Seconds between calls that fail, doubled up to the most; not measured.
 RETRY_MIN_S = 0.1
 RETRY_MAX_S = 0.8
-STATUS_GONE = 410
-STATUS_CONFLICT = 409
+# Characters of a fault that a log line holds.
+FAULT_LOGGED = 300
 
 
 class ObjectsClient:
@@ -56,8 +56,8 @@
         body: bytes | None = None,
         wait_s: float = 0.0,
         margin_s: float = CALL_S,
-    ) -> Result[bytes, int]:
-        """Return the body of a good answer, or the status; 599 without an answer."""
+    ) -> Result[bytes, StoreFailure]:
+        """Return the body of a good answer, or what the store says instead."""
         request = HTTPRequest(
             self.url + path,
             method=method,
@@ -73,11 +73,15 @@
         end = "ok" if good else str(response.code)
         kind = "watch" if wait_s else "read" if method == "GET" else "write"
         STORE_CALLS_TOTAL.labels(kind=kind, end=end).inc()
-        answered = good or response.code in (404, STATUS_CONFLICT, STATUS_GONE)
-        self._note(answered, response.code)
-        return Success(response.body) if good else Failure(response.code)
-
-    def _note(self, answered: bool, status: int) -> None:
+        if good:
+            self._record(True, response.code)
+            return Success(response.body)
+        failure = self.codec.read_failure(response.code)
+        self._record(failure is not StoreFailure.UNAVAILABLE, response.code)
+        return Failure(failure)
+
+    def _record(self, answered: bool, status: int) -> None:
+        """Log when the store stops and starts to answer."""
         if answered == self.is_available_:
             return
         self.is_available_ = answered
@@ -140,6 +144,7 @@
                 return False
             page = codec.read_list(read.unwrap())
             if isinstance(page, Failure):
+                self._log_unreadable(page.failure())
                 return False
             page = page.unwrap()
             items += page.items
@@ -162,13 +167,14 @@
         )
         if isinstance(read, Failure):
             self.margin_s_ = min(WATCH_MARGIN_MOST_S, self.margin_s_ * 2.0)
-            if read.failure() == STATUS_GONE:
+            if read.failure() is StoreFailure.HISTORY_GONE:
                 self.revision_ = None
                 return True
             return False
         self.margin_s_ = WATCH_MARGIN_S
         seen = codec.read_events(read.unwrap())
         if isinstance(seen, Failure):
+            self._log_unreadable(seen.failure())
             self.revision_ = None
             return False
         seen = seen.unwrap()
@@ -177,3 +183,7 @@
         self.revision_ = max(self.revision_, seen.revision)
         self.owner.on_confirmed(self.revision_)
         return True
+
+    def _log_unreadable(self, fault: str) -> None:
+        """Log an answer that cannot be read; the pause after it bounds the lines."""
+        self.client.log.report(Event.CONFIG_UNREADABLE, error=fault[:FAULT_LOGGED])
--- a/packages/leadford-server/src/leadford_server/forwarding/_members.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_members.py
@@ -12,8 +12,13 @@
 
 from leadford.common import EntryId
 from leadford.events import Event
-from leadford_server.forwarding._contract import KnownEntry, ObjectCodec, ObjectEvent
-from leadford_server.forwarding._follow import STATUS_CONFLICT, Listing, ObjectsClient
+from leadford_server.forwarding._contract import (
+    KnownEntry,
+    ObjectCodec,
+    ObjectEvent,
+    StoreFailure,
+)
+from leadford_server.forwarding._follow import Listing, ObjectsClient
 
 # Seconds between tries to announce this entry in the store, and the parts between which
 # each pause is drawn; not measured.
@@ -81,7 +86,7 @@
         body = self.objects.entry_object(self.own)
         while True:
             made = await self.client.call(path, method="POST", body=body)
-            if not isinstance(made, Failure) or made.failure() == STATUS_CONFLICT:
+            if not isinstance(made, Failure) or made.failure() is StoreFailure.CONFLICT:
                 return
             spread = self.random.uniform(*ANNOUNCE_SPREAD)
             await asyncio.sleep(ANNOUNCE_WAIT_S * spread)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_forward.py
@@ -440,7 +440,7 @@
 
         async def refuse(*args, **fields):
             await asyncio.sleep(0.05)
-            return _follow.Failure(503)
+            return _follow.Failure(_follow.StoreFailure.UNAVAILABLE)
 
         monkeypatch.setattr(cut_off, "call", refuse)
         leaving = deployment.plain[0]
--- a/packages/leadford/src/leadford/forwarding/answers/_final.py
+++ b/packages/leadford/src/leadford/forwarding/answers/_final.py
@@ -26,11 +26,6 @@
 STATUS_REFUSED = 503
 STATUS_LATE = 504
 
-# To a caller these statuses promise that nothing ran: request timeout, misdirected
-# request, too many requests, unavailable. An endpoint that answers one of them without
-# saying that it did not run the request promises no such thing.
-STATUSES_THAT_CLAIM_NOTHING_RAN = frozenset({408, 421, 429, 503})
-
 
 class RequestOutcome(Enum):
     """Say how a request ended; the values stand in logs and metrics."""
@@ -118,6 +113,10 @@
     return FinalAnswer(RequestOutcome.REFUSED, STATUS_REFUSED, retry_after_s)
 
 
-def may_pass_on(status: int) -> bool:
-    """Tell whether an endpoint's status may be passed on to the caller."""
-    return status not in STATUSES_THAT_CLAIM_NOTHING_RAN
+def may_pass_on(status: int, not_run_statuses: frozenset[int]) -> bool:
+    """Tell whether an endpoint's status may be passed on to the caller.
+
+    `not_run_statuses` say to a caller that nothing ran. An endpoint that answers one of
+    them without saying that it did not run the request promises no such thing.
+    """
+    return status not in not_run_statuses
--- a/packages/leadford/src/leadford/forwarding/answers/tests/test_final.py
+++ b/packages/leadford/src/leadford/forwarding/answers/tests/test_final.py
@@ -11,6 +11,7 @@
 )
 from leadford.forwarding.routes import StartDenial
 
+NOT_RUN = frozenset({408, 421, 429, 503})
 REFUSED = RequestOutcome.REFUSED
 FAILED = RequestOutcome.FAILED
 OWN_REASONS = [
@@ -70,12 +71,12 @@
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 def test_a_status_that_claims_nothing_ran_is_not_passed_on(status):
-    assert not may_pass_on(status)
+    assert not may_pass_on(status, NOT_RUN)
 
 
 @pytest.mark.parametrize("status", [200, 404, 409, 500, 502, 504])
 def test_other_statuses_are_passed_on(status):
-    assert may_pass_on(status)
+    assert may_pass_on(status, NOT_RUN)
 
 
 def test_every_denial_of_a_start_is_a_reason():
