--- a/packages/leadford-server/src/leadford_server/forwarding/_callers.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_callers.py
@@ -25,6 +25,9 @@
 HEAD_READ_MOST = 4
 # Bytes. Bodies are bounded by the configuration while they arrive, not by the library.
 BODY_READ_MOST = 1 << 40
+# Seconds between the end of an answer and the close of its connection, so that what was
+# written still goes out; not measured.
+CLOSE_DELAY_S = 0.02
 # What a line of a head takes beside its name and value.
 LINE_BYTES = 4
 STATUS_BODY_TOO_LARGE = 413
@@ -250,21 +253,30 @@
         """Record that a connection ended."""
 
     def close_soon(self, connection: HTTP1Connection) -> None:
-        """Close a connection once what was written is on its way."""
+        """Close a connection once what was written is on its way.
+
+        The head of the answer may have been written before the stop began and not have
+        said so. Then the caller may send another request at once: that one is served,
+        and the connection closed after it.
+        """
         stream = connection.stream
         if stream is None or stream.closed():
             return
         loop = asyncio.get_running_loop()
 
         def close() -> None:
-            if stream.closed():
+            if stream.closed() or self._carries_request(stream):
                 return
             if stream.writing():
-                loop.call_later(0.02, close)
+                loop.call_later(CLOSE_DELAY_S, close)
                 return
             stream.close()
 
-        loop.call_later(0.02, close)
+        loop.call_later(CLOSE_DELAY_S, close)
+
+    def _carries_request(self, stream: iostream.IOStream) -> bool:
+        """Tell whether a request that is not answered yet came on a connection."""
+        return any(item.connection.stream is stream for item in self.exchanges_)
 
     def stop_listening(self) -> None:
         """Accept no new connections."""
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
@@ -5,6 +5,23 @@
 from leadford_standins.wire import StoreFault, event_ids, play, runs_of
 
 
+def request_bytes(path, request_id):
+    lines = [
+        f"POST {path} HTTP/1.1",
+        "Host: rooms.example",
+        f"X-Attempt-Id: {request_id}",
+        "X-Deadline-Ms: 3000",
+        "X-Pieces: 2,1",
+        "X-Model: m",
+        "X-Token-Counts: 100,10",
+        "X-Prefix-Hash: aa:50,bb:20",
+        f"X-Piece-Key: pk-{request_id}",
+        "Content-Length: 0",
+        "Authorization: Token key-1",
+    ]
+    return "\r\n".join([*lines, "", ""]).encode()
+
+
 def test_entries_that_restart_in_turn_find_each_other_without_the_store():
     async def scenario(deployment):
         for entry in deployment.entries_:
@@ -105,3 +122,28 @@
         await stopping
 
     play(scenario)
+
+
+def test_a_request_on_a_connection_whose_stream_ended_in_a_planned_stop_is_answered():
+    async def scenario(deployment):
+        entry = deployment.entries_[0]
+        for engine in deployment.engines:
+            engine.pause_s = 0.05
+        for endpoint in deployment.plain:
+            endpoint.work_s = 0.2
+        callers = entry.settings.callers
+        reader, writer = await asyncio.open_connection(callers.host, callers.port)
+        # The head of the stream is written before the stop, so it does not say close.
+        writer.write(request_bytes("/once/x", "r1"))
+        head = await reader.readuntil(b"\r\n\r\n")
+        assert b" 200 " in head and b"Connection: close" not in head
+        stopping = asyncio.ensure_future(entry.drain())
+        await reader.readuntil(b"0\r\n\r\n")
+        writer.write(request_bytes("/unsafe/x", "r2"))
+        head = await reader.readuntil(b"\r\n\r\n")
+        assert b" 200 " in head and b"Connection: close" in head
+        assert len(runs_of(deployment.plain, "r2")) == 1
+        writer.close()
+        await stopping
+
+    play(scenario)
