--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -1,8 +1,9 @@
 """Hold what one entry knows for forwarding: configuration, endpoints, budgets.
 
 Shared by all requests of an entry. Each field is written by one module: the table and
-its age by `_config`, the roster by `_listing`, the count of entries by `_members`, the
-begin of a stop by `_process`; the rest learns from requests.
+its age by `_config`, the roster by `_listing`, the count of entries, the bounds and the
+begin of a stop by `_process`, reservations by admission and heartbeats; the estimates,
+choosers, budgets and connections learn from requests.
 """
 
 import asyncio
