--- a/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
@@ -1,11 +1,19 @@
-"""Decide at an endpoint's queue whether an attempt can still finish in time."""
+"""Decide at an endpoint's queue whether an attempt can still finish in time.
+
+Asked by the agent when an attempt arrives and again when it would begin. It decides
+from what waits before it, and from how long the endpoint takes by its own measure. An
+idle endpoint always tries, since that loses nothing and shows its present speed.
+"""
 
 from leadford.common import Ewma, RefusalReason, WorkspaceId
 from leadford.pipelines.queues import QueuedAttempt, QueuePolicy
 
+# Weight of the newest attempt in the estimates; not measured.
 ESTIMATE_WEIGHT = 0.05
+# Milliseconds of an attempt, and of a token, before any is known; not measured.
 DEFAULT_SERVICE_MS = 20.0
 DEFAULT_TOKEN_MS = 20.0
+# Part of an expected service that must fit before the deadline; not measured.
 DEADLINE_SLACK = 0.95
 
 
--- a/packages/leadford/src/leadford/pipelines/admission/_entitlement.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_entitlement.py
@@ -1,4 +1,8 @@
-"""Know which workspaces are within their share of what an entry has live."""
+"""Know which workspaces are within their share of what an entry has live.
+
+Asked by the entry before it refuses for a backlog: a workspace within its share is left
+to the queue, which serves it in its turn.
+"""
 
 from collections.abc import Callable
 
--- a/packages/leadford/src/leadford/pipelines/admission/_entry.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_entry.py
@@ -1,4 +1,13 @@
-"""Decide at an entry whether a request can finish all its stages in time."""
+"""Decide at an entry whether a request can finish all its stages in time.
+
+Asked once for each request of the own interface, with a forecast for each stage: the
+candidate endpoint that would finish first, by its last report and own sends. A request
+is refused at once when the sum lies behind its deadline; reports fade, so refused work
+does not refuse itself for ever. `EndpointAdmission` decides again at the queue.
+Admission over batched stages on the platform is another rule
+(`leadford.forwarding.admission`): it knows backlogs of all entries and callers that
+return, and no single endpoints.
+"""
 
 import msgspec
 
@@ -6,7 +15,9 @@
 from leadford.pipelines.config import StageConfig
 from leadford.pipelines.routing import EndpointView
 
+# Requests that an entry holds at a time; not measured.
 LIVE_REQUESTS_MAX = 4096
+# Seconds in which a report of an endpoint fades to what is configured; not measured.
 REPORT_TRUSTED_S = 2.0
 
 
--- a/packages/leadford/src/leadford/pipelines/admission/_headroom.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_headroom.py
@@ -6,6 +6,8 @@
 
 from math import exp
 
+# Seconds over which the presence of a class is averaged. Commit bc56fb2 measured
+# headroom (hints in time 0.92..0.96 to 0.99 under overload); the value was not varied.
 AVERAGE_OVER_S = 2.0
 
 
--- a/packages/leadford/src/leadford/pipelines/ejection/_outliers.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/_outliers.py
@@ -1,4 +1,12 @@
-"""Eject outliers of a pool by errors and by slowness, within a cap."""
+"""Eject outliers of a pool by errors and by slowness, within a cap.
+
+Held by each entry of the own interface, one a pool. An endpoint is ejected for failures
+in a row or often, or for being several times slower than the median of the others; it
+comes back after probes, one at a time. Endpoints of forwarded requests are judged by
+another rule (`leadford.forwarding.endpoints`): suspicion that only orders the choice,
+without probes and without a cap, because suspects are still asked when nobody else is
+left.
+"""
 
 from enum import Enum
 from random import Random
@@ -8,14 +16,21 @@
 
 from leadford.common import EndpointId, Ewma
 
+# Failures in a row that eject; not measured.
 FAILURES_IN_A_ROW = 5
+# Rate of failures that ejects, and the outcomes it needs; neither was measured.
 FAILURE_RATE = 0.5
 OUTCOMES_NEEDED = 10
+# Times of the median of the others that ejects for slowness, the answers it needs, and
+# the least such limit; commit 58d4578, not varied.
 SLOWNESS_RATIO = 3.0
 SLOWNESS_NEEDED = 4
 SLOWNESS_FLOOR = 2.0
+# Seconds of the first ejection, doubled with each further one up to the most; not
+# measured.
 EJECTION_BASE_S = 1.0
 EJECTION_MAX_S = 30.0
+# Probes in a row that restore an endpoint; not measured.
 PROBES_TO_RESTORE = 3
 
 
--- a/packages/leadford/src/leadford/pipelines/membership/_halls.py
+++ b/packages/leadford/src/leadford/pipelines/membership/_halls.py
@@ -1,10 +1,19 @@
-"""Treat the loss of a data hall as one event."""
+"""Treat the loss of a data hall as one event.
+
+Written by the entry of the own interface for each connection that is lost or stands
+again; asked by its directory before an endpoint gets work. When everything is out of
+reach, the fault is on this side, and no hall is held lost.
+"""
 
 from leadford.common import EndpointId, HallId
 
+# Part of a hall's endpoints out of reach, and the least number, that make it lost; not
+# measured.
 LOST_FRACTION = 0.7
 LOST_ENDPOINTS_MIN = 3
+# Seconds within which they must be lost; not measured.
 WINDOW_S = 3.0
+# Seconds that a hall is held lost; not measured.
 SUSPICION_S = 5.0
 
 
--- a/packages/leadford/src/leadford/pipelines/membership/_subset.py
+++ b/packages/leadford/src/leadford/pipelines/membership/_subset.py
@@ -1,8 +1,14 @@
-"""Choose bounded, deterministic subsets by rendezvous hashing."""
+"""Choose bounded, deterministic subsets by rendezvous hashing.
+
+Used by entries of the own interface: the endpoints of a pool that each talks to, and
+the entries of a hall that watch the store for it.
+"""
 
 from leadford.common import EndpointId, EntryId, HallId, rendezvous_order
 
+# Entries of a hall that watch the store for it; not measured.
 RELAYS_PER_HALL = 2
+# Part of a subset that lies in other halls; not measured.
 OTHER_HALL_PART = 0.25
 
 
--- a/packages/leadford/src/leadford/pipelines/retries/_backoff.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_backoff.py
@@ -1,7 +1,11 @@
-"""Space retries with exponential backoff and full jitter."""
+"""Space retries with exponential backoff and full jitter.
+
+Used by the decision over failed attempts of stages.
+"""
 
 from random import Random
 
+# Milliseconds of the first range and of the largest; neither was measured.
 BASE_MS = 5.0
 CAP_MS = 500.0
 
--- a/packages/leadford/src/leadford/pipelines/retries/_budget.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_budget.py
@@ -1,7 +1,13 @@
-"""Bound retries and hedges to a ratio of fresh work."""
+"""Bound retries and hedges to a ratio of fresh work.
+
+Held by each entry of the own interface: tokens are earned by fresh attempts. The budget
+of forwarded requests (`leadford.forwarding.retries`) counts over a window in place of
+tokens, because the platform's rule is written so.
+"""
 
 from leadford.common import check_fraction
 
+# Retries that can be saved up; not measured.
 BURST = 10.0
 
 
--- a/packages/leadford/src/leadford/pipelines/retries/_decision.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_decision.py
@@ -1,4 +1,11 @@
-"""Decide what follows a failed attempt."""
+"""Decide what follows a failed attempt of a stage.
+
+Asked by the entry of the own interface. An attempt that may have begun is repeated only
+where its stage may be; a first refusal moves it for free, other retries spend a budget
+and wait with backoff. Attempts of forwarded requests follow another rule
+(`leadford.forwarding.retries`): no backoff, a budget over a window that the fleet
+shares, and inputs that may have to be made again.
+"""
 
 from enum import Enum
 
@@ -8,6 +15,7 @@
 from leadford.pipelines.retries._backoff import Backoff
 from leadford.pipelines.retries._budget import RetryBudget
 
+# Attempts of a stage in all; not measured.
 ATTEMPTS_MAX = 4
 
 
--- a/packages/leadford/src/leadford/pipelines/retries/_hedge.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_hedge.py
@@ -1,7 +1,12 @@
-"""Decide when a slow repeatable attempt gets a second one beside it."""
+"""Decide when a slow repeatable attempt gets a second one beside it.
+
+Asked by the entry for stages that are marked for it. It learns from winning attempts;
+until enough are known there is no hedge.
+"""
 
 from sortedcontainers import SortedList
 
+# Winning attempts that are kept, and that are needed for a hedge; not measured.
 SAMPLES_KEPT = 200
 SAMPLES_NEEDED = 20
 
--- a/packages/leadford/src/leadford/pipelines/retries/_rescue.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_rescue.py
@@ -1,7 +1,16 @@
-"""Decide whether a slow generation is moved before its deadline passes."""
+"""Decide whether a slow generation is moved before its deadline passes.
 
+Asked by the entry from time to time while a generation runs whose caller was shown
+nothing yet. It compares what is left here at the speed seen so far with the forecast
+elsewhere.
+"""
+
+# Tokens after which the speed of a generation counts; commit 58d4578, not measured.
 TOKENS_NEEDED = 3
+# Factor by which another endpoint must be better; commit 0b8e728, not measured.
 MARGIN = 1.2
+# Milliseconds before the last moment to move, in which a generation that has said
+# little is moved too; commit 58d4578, not measured.
 LAST_CHANCE_MS = 300.0
 
 
