--- a/packages/leadford-server/src/leadford_server/forwarding/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_connection.py
@@ -204,7 +204,7 @@
         return not self.stream.writing()
 
     def rest(self, now: float) -> None:
-        """Wait for the next exchange, watching for a close or stray bytes."""
+        """Wait for the next exchange, watching for a close or unasked bytes."""
         self.idle_since_ = now
         self.stream.is_idle_ = True
         self.stream.set_close_callback(lambda: None)
--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -163,7 +163,7 @@
         message = self.heartbeats.make(self._groups(), is_draining=self.is_draining_)
         for entry_id, peer in list(self.peers_by_id_.items()):
             if is_silent(self.heard_at_by_id_.get(entry_id, now), now):
-                # Nothing has come for long: the other side is gone without a word.
+                # The connection stands, but its peer no longer sends heartbeats.
                 peer.abort()
                 continue
             peer.send(message)
--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -228,7 +228,7 @@
             self.on_inputs_read(readers)
 
     def _queue_again(self, call: PieceCall, task: PieceTask, reason: str) -> None:
-        """Queue a piece that was not made, unless its inputs were given up."""
+        """Queue a piece that was not made, unless its inputs were released."""
         if call.inputs_are_read and task.inputs:
             self.reply(task, PieceResult(None, reason, None))
             return
--- a/packages/leadford/src/leadford/forwarding/batching/_groups.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_groups.py
@@ -144,7 +144,7 @@
         moved_bytes_by_group: dict[GroupId, int],
         now: float,
     ) -> GroupId | None:
-        """Return the group that takes a piece first; moved bytes speak against it."""
+        """Return the group with the least cost of a piece, waits and moved bytes."""
         best = None
         best_score = float("inf")
         for group in sorted(endpoints_by_group, key=lambda group: group.key):
--- a/packages/leadford/src/leadford/forwarding/batching/_queue.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_queue.py
@@ -83,7 +83,7 @@
         return self.tasks[0].rank_at
 
     def moving_s(self, hall: HallId) -> float:
-        """Return what speaks against a hall, as a wait: bytes that have to move."""
+        """Return the wait that moving bytes to a hall is worth."""
         return moving_s(self.tasks[0].moved_bytes(hall) * len(self.tasks))
 
     def hall_wait_s(self, hall: HallId, limits: PieceLimits, now: float) -> float:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
@@ -19,15 +19,21 @@
 
 
 class ChoicePolicy(msgspec.Struct, frozen=True):
-    """Weigh what speaks against an endpoint.
+    """Weigh the costs of an endpoint.
 
     Units: one unit is one request that runs or waits there, per slot.
     """
 
+    # An endpoint in another hall, and one that is still cold; not measured.
     other_hall: float = 0.35
+    # An endpoint whose recent requests all failed; not measured.
     failure: float = 2.0
+    # One that takes twice as long as the fastest, and the most times that count; commit
+    # 98b5411, neither was measured.
     slowness: float = 0.3
     slowness_most: float = 3.0
+    # The most that chance adds, so that entries do not all choose the same; not
+    # measured.
     jitter: float = 0.05
 
 
@@ -67,14 +73,14 @@
         return best
 
     def _slowness(self, record: EndpointRecord, fastest_ms: float) -> float:
-        """Return what speaks against an endpoint that answers slower than others."""
+        """Return the cost of an endpoint that answers slower than others."""
         if record.latency_ms_.count_ < SLOWNESS_NEEDED or fastest_ms <= 0.0:
             return 0.0
         beyond = record.latency_ms_.value_ / fastest_ms - 1.0
         return self.policy.slowness * min(self.policy.slowness_most, beyond)
 
     def score(self, record: EndpointRecord, *, now: float) -> float:
-        """Return what speaks against an endpoint."""
+        """Return the cost of an endpoint, without its slowness."""
         policy = self.policy
         work = record.in_flight_ + record.waiting_elsewhere(now)
         score = work / max(1, record.listed.slots)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
@@ -2,9 +2,13 @@
 
 What counts is the prompt: tokens that are kept at an engine need not be read again,
 and every prompt that waits there is read first. What an engine keeps is learned from
-own sends. For what other entries sent all of them agree, without a word, on a few
+own sends. For what other entries sent all of them agree, without a message, on a few
 engines for the first part of a prompt, which many prompts share, and on one of these by
 the last part that prompts share.
+
+Called for each attempt at a model engine, and when the stages of a request begin, which
+are best made in the hall of its engine. Suspects are asked only when nobody else is
+left. What an engine's cache holds is a guess: cache events are not read.
 """
 
 from collections import OrderedDict
@@ -51,6 +55,14 @@
 MEAN_PROMPT_TOKENS = 2_000.0
 # Tokens below which a prompt says nothing of the rate; commit 73187cc, not measured.
 TOKENS_LEARNED_MIN = 500.0
+# Tokens per millisecond between which a measured rate is believed; commit 73187cc, not
+# measured.
+RATE_LEAST = 2.0
+RATE_MOST = 100.0
+# Times of the expected time to read a prompt that an engine may take in a forecast;
+# commit 73187cc, not measured.
+SLOWNESS_LEAST = 0.5
+SLOWNESS_MOST = 4.0
 # Part of an engine's memory that is taken to hold parts of prompts; commit 73187cc, not
 # measured.
 MEMORY_PART = 0.6
@@ -126,13 +138,11 @@
 class SentPrompt(msgspec.Struct, frozen=True, eq=False):
     """Hold what was expected of a prompt that was sent to an engine.
 
-    Units: read_tokens is what it is expected to read, expected_ms until its first
-    token.
+    Units: read_tokens are those that the engine is expected to read.
     """
 
     endpoint_id: EndpointId
     read_tokens: float
-    expected_ms: float
 
 
 class EngineChooser:
@@ -211,7 +221,7 @@
         affinity: Sequence[EndpointId],
         now: float,
     ) -> float:
-        """Return the time to the first token, with what speaks against an engine."""
+        """Return the time to the first token, with the costs of an engine added."""
         endpoint_id = record.listed.endpoint_id
         kept = self._kept_tokens(record, shape, affinity)
         tokens = shape.tokens_in - kept
@@ -219,7 +229,7 @@
         if record.load_ is not None:
             elsewhere = min(record.load_.waiting, record.waiting_elsewhere(now))
             tokens += elsewhere * MEAN_PROMPT_TOKENS
-        slowness = min(4.0, max(0.5, record.slowness_.value_))
+        slowness = min(SLOWNESS_MOST, max(SLOWNESS_LEAST, record.slowness_.value_))
         expected = tokens / self.tokens_per_ms_.value_ * slowness
         running = record.in_flight_ + record.waiting_elsewhere(now)
         expected += running * RUNNING_MS
@@ -253,8 +263,7 @@
         for part in shape.parts:
             kept.touch(part, memory_tokens * MEMORY_PART)
         self.pending_by_id_[endpoint_id] = pending + tokens
-        expected = (tokens + pending) / self.tokens_per_ms_.value_
-        return SentPrompt(endpoint_id, tokens, expected)
+        return SentPrompt(endpoint_id, tokens)
 
     def record_started(self, sent: SentPrompt) -> None:
         """Count that the prompt has been read, or that its attempt is over."""
@@ -268,7 +277,7 @@
         """Learn how fast prompts are read."""
         if sent.read_tokens >= TOKENS_LEARNED_MIN and elapsed_ms > 0.0:
             self.tokens_per_ms_.update(
-                min(100.0, max(2.0, sent.read_tokens / elapsed_ms))
+                min(RATE_MOST, max(RATE_LEAST, sent.read_tokens / elapsed_ms))
             )
 
     def retain(self, known: set[EndpointId]) -> None:
--- a/packages/leadford/src/leadford/forwarding/membership/_liveness.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_liveness.py
@@ -18,5 +18,5 @@
 
 
 def is_silent(heard_at: float, now: float) -> bool:
-    """Tell whether a connected peer is gone without a word."""
+    """Tell whether a connected peer has stopped to send heartbeats."""
     return now - heard_at > SILENT_TIMES * LIVE_S
