--- a/packages/leadford-server/src/leadford_server/forwarding/_answer.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_answer.py
@@ -54,7 +54,7 @@
         match = progress.match_
         progress.first_byte_at_ = self.state.now()
         engine_s = progress.first_byte_at_ - attempt.began_at
-        self.state.engine_s(match.service.service_id).update(engine_s)
+        self.state.first_byte_.record(match.service.service_id, engine_s)
         self.attempts.record_first_token(engine_s)
         if progress.expected_s_ > 0.0:
             actual_s = progress.first_byte_at_ - progress.request.received_at
--- a/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
@@ -158,7 +158,7 @@
         decision = decide_retry(
             failed,
             has_other_endpoint=lambda: self.choose() is not None,
-            budget=self.state.budget(match.service.service_id),
+            budget=self.state.budgets_.budget(match.service.service_id),
         )
         progress.retry_reason_ = decision.reason
         if decision.reason is RetryReason.ALLOWED:
--- a/packages/leadford-server/src/leadford_server/forwarding/_free.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_free.py
@@ -78,4 +78,4 @@
         if capacity is not None:
             for handle in handles:
                 capacity.free(handle)
-        self.on_free(state.group(service.service_id, record.listed.hall))
+        self.on_free(state.groups_.group(service.service_id, record.listed.hall))
--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -78,7 +78,11 @@
             on_listing=on_listing,
             on_entries=on_entries,
         )
-        self.handlers_: MessageHandlers = {
+        self.handlers_ = self._handlers()
+
+    def _handlers(self) -> MessageHandlers:
+        """Return what handles each kind of message."""
+        return {
             EntryHeartbeat: self._on_heartbeat,
             **self.pieces.handlers(),
             **self.news.handlers(),
@@ -130,10 +134,11 @@
         if table is None:
             return set()
         found = set()
+        now = self.state.now()
         for service in table.config.services_by_id.values():
             if service.pieces is None:
                 continue
-            found.update(self.state.usable_by_group(service.service_id))
+            found.update(self.state.groups_.usable_by_group(service.service_id, now))
         return found
 
     def _dial(self) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_request.py
@@ -136,7 +136,8 @@
         progress.deadline_ = request_deadline(
             route, self.request.deadline_ms, self.request.received_at
         )
-        self.state.budget(match.service.service_id).record_request(self.state.now())
+        budget = self.state.budgets_.budget(match.service.service_id)
+        budget.record_request(self.state.now())
         if route.stages and not self._admit():
             return
         try:
@@ -170,7 +171,7 @@
                 self.inputs.capacities(match),
                 priority=match.priority,
                 fingerprint=request.fingerprint,
-                engine_s=self.state.engine_s(match.service.service_id).value_,
+                engine_s=self.state.first_byte_.expected_s(match.service.service_id),
                 elapsed_s=now - request.received_at,
                 allowed_s=progress.deadline_ - request.received_at,
                 now=now,
--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -134,7 +134,9 @@
             if record is None:
                 continue
             listed = record.listed
-            if scheduled_by_others(self.state.group(listed.service_id, listed.hall)):
+            if scheduled_by_others(
+                self.state.groups_.group(listed.service_id, listed.hall)
+            ):
                 found.append(use)
         return found
 
@@ -142,7 +144,7 @@
         return [
             record
             for record in self.state.usable(group.service_id)
-            if self.state.group(group.service_id, record.listed.hall) == group
+            if self.state.groups_.group(group.service_id, record.listed.hall) == group
         ]
 
     def _dispatch(self, group: GroupId) -> None:
--- a/packages/leadford/src/leadford/forwarding/batching/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/batching/__init__.py
@@ -10,6 +10,7 @@
 )
 from leadford.forwarding.batching._filling import FillAction, NextCall, next_call
 from leadford.forwarding.batching._graph import PieceGraph, PieceKey, PieceState
+from leadford.forwarding.batching._group_map import GroupMap
 from leadford.forwarding.batching._groups import (
     GroupId,
     GroupLoad,
@@ -57,6 +58,7 @@
     "FillAction",
     "GroupId",
     "GroupLoad",
+    "GroupMap",
     "GroupTable",
     "NextCall",
     "PieceFailure",
--- a/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
@@ -19,6 +19,7 @@
 )
 from leadford.forwarding.endpoints._record import EndpointFailure, EndpointRecord
 from leadford.forwarding.endpoints._roster import EndpointRoster, RosterChange
+from leadford.forwarding.endpoints._times import FirstByteTimes
 
 __all__ = [
     "ChoicePolicy",
@@ -28,6 +29,7 @@
     "EndpointRecord",
     "EndpointRoster",
     "EngineChooser",
+    "FirstByteTimes",
     "SentPrompt",
     "ListedEndpoint",
     "ListedState",
--- a/packages/leadford/src/leadford/forwarding/retries/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/retries/__init__.py
@@ -4,7 +4,7 @@
 waited for, `_budget` how many further attempts the fleet may make.
 """
 
-from leadford.forwarding.retries._budget import WindowedRetryBudget
+from leadford.forwarding.retries._budget import RetryBudgets, WindowedRetryBudget
 from leadford.forwarding.retries._decision import (
     AttemptEnd,
     FailedAttempt,
@@ -25,6 +25,7 @@
     "AttemptEnd",
     "AttemptTiming",
     "FailedAttempt",
+    "RetryBudgets",
     "RetryDecision",
     "RetryReason",
     "WindowedRetryBudget",
--- a/packages/leadford/src/leadford/forwarding/retries/_budget.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_budget.py
@@ -5,6 +5,9 @@
 """
 
 from collections import deque
+from collections.abc import Callable
+
+from leadford.forwarding.routes import ServiceId
 
 # Part of the allowance that is spent at most, for clocks of entries that disagree; not
 # measured.
@@ -54,3 +57,30 @@
             return False
         self.record_repeat(now)
         return True
+
+
+class RetryBudgets:
+    """Hold the budget of each service.
+
+    `make` returns a new budget by the settings in force.
+    """
+
+    def __init__(self, *, make: Callable[[], WindowedRetryBudget]) -> None:
+        self.make = make
+        self.budgets_by_service_: dict[ServiceId, WindowedRetryBudget] = {}
+        self.entry_count_ = 1
+
+    def budget(self, service_id: ServiceId) -> WindowedRetryBudget:
+        """Return the budget of a service."""
+        budget = self.budgets_by_service_.get(service_id)
+        if budget is None:
+            budget = self.make()
+            budget.entry_count_ = self.entry_count_
+            self.budgets_by_service_[service_id] = budget
+        return budget
+
+    def set_entry_count(self, count: int) -> None:
+        """Split the budgets of the fleet over so many entries."""
+        self.entry_count_ = count
+        for budget in self.budgets_by_service_.values():
+            budget.entry_count_ = count
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_budget.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_budget.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, strategies as st
 
-from leadford.forwarding.retries import WindowedRetryBudget
+from leadford.forwarding.retries import RetryBudgets, WindowedRetryBudget
 
 
 def test_slack_is_shared_and_ratio_is_earned():
@@ -47,3 +47,15 @@
         recent = [at for at in repeats if at >= now - window_s]
         fresh = [at for at in requests if at >= now - window_s]
         assert len(recent) <= ratio * len(fresh) + slack
+
+
+def test_each_service_has_a_budget_and_all_are_shared_by_the_entries():
+    budgets = RetryBudgets(
+        make=lambda: WindowedRetryBudget(ratio=0.0, slack=40.0, window_s=10.0)
+    )
+    first = budgets.budget("a")
+    assert budgets.budget("a") is first
+    assert budgets.budget("b") is not first
+    budgets.set_entry_count(4)
+    assert sum(first.try_spend(0.0) for _ in range(50)) == 8
+    assert sum(budgets.budget("c").try_spend(0.0) for _ in range(50)) == 8
