--- a/packages/leadford-server/src/leadford_server/forwarding/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_groups.py
@@ -33,7 +33,7 @@
         self.live_entries: LiveEntries | None = None
 
     def scheduler_of(self, group: GroupId) -> EntryId:
-        """Return the live entry that keeps a group."""
+        """Return the live entry that schedules a group."""
         halls = {}
         if self.live_entries is not None:
             halls = self.live_entries.halls_by_live_entry()
--- a/packages/leadford-server/src/leadford_server/forwarding/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_links.py
@@ -35,7 +35,7 @@
 class EntryLinks:
     """Hold links to the entries that this one works with.
 
-    These are the first candidates for keeping each group, and the next entries in
+    These are the first candidates to schedule each group, and the next entries in
     the order of ids, so that news spread over all of them. Their number does not
     grow with the fleet.
     """
--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -1,6 +1,6 @@
 """Keep the queues of groups: fill calls from the pieces of all entries.
 
-Owns the queue of each group that this entry keeps, and what this entry has at each
+Owns the queue of each group that this entry schedules, and what this entry has at each
 endpoint. Which call leaves next is decided in `leadford.forwarding.batching`; `_calls`
 makes it, `_free` frees results. Answers go to the entries that asked by `reply`.
 """
@@ -77,14 +77,12 @@
 
     def cancel(self, origin: EntryId, correlation_ids: set[int]) -> None:
         """Drop waiting pieces of an entry."""
+
+        def is_wanted(task: PieceTask) -> bool:
+            return task.origin != origin or task.correlation_id not in correlation_ids
+
         for queue in self.queues_by_group_.values():
-            queue.discard(
-                lambda task: (
-                    not (
-                        task.origin == origin and task.correlation_id in correlation_ids
-                    )
-                )
-            )
+            queue.discard(is_wanted)
 
     def forget(self, origin: EntryId) -> None:
         """Drop every waiting piece of an entry that is gone."""
@@ -127,7 +125,7 @@
     def uses_left(
         self, scheduled_by_others: Callable[[GroupId], bool]
     ) -> list[CapacityUse]:
-        """Return what this entry still has in groups that others keep now."""
+        """Return what this entry still has in groups that others schedule now."""
         found = []
         for use in self.capacities_.uses(self.state.now()):
             record = self.state.roster_.record(use.endpoint_id)
--- a/packages/leadford/src/leadford/forwarding/batching/_capacity.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_capacity.py
@@ -41,7 +41,7 @@
 
 
 class CapacityUse(msgspec.Struct, frozen=True):
-    """Say what an entry that does not keep a group any more still has there."""
+    """Say what an entry that no longer schedules a group still has there."""
 
     endpoint_id: EndpointId
     result_bytes: int
@@ -90,8 +90,8 @@
             return False
         if self.short_since_ is None:
             self.short_since_ = now
-        hall_wait_s = ROOM_WAIT_PART * self.limits.call_ms / 1_000.0
-        return bool(self.held_by_handle_) and now - self.short_since_ < hall_wait_s
+        room_wait_s = ROOM_WAIT_PART * self.limits.call_ms / 1_000.0
+        return bool(self.held_by_handle_) and now - self.short_since_ < room_wait_s
 
     def is_free(self, now: float) -> bool:
         """Tell whether the endpoint may get a call now."""
--- a/packages/leadford/src/leadford/forwarding/batching/_groups.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_groups.py
@@ -1,7 +1,7 @@
 """Split the endpoints of a batched stage into groups, each with one scheduler.
 
 A group is the endpoints of one service in one region, or in one hall where a region
-has many. One entry keeps its queue, so that calls fill from the pieces of all entries
+has many. One entry holds its queue, so that calls fill from the pieces of all entries
 and no endpoint rests while pieces wait for another one. Which entry follows from those
 that are alive; two schedulers at once only make batches smaller.
 """
@@ -92,7 +92,7 @@
 def schedulers_in_order(
     group: GroupId, halls_by_entry: dict[EntryId, HallId], regions: RegionMap
 ) -> list[EntryId]:
-    """Return the entries in the order in which they keep a group, near ones first."""
+    """Return the entries in the order in which they schedule a group, near first."""
     near = []
     far = []
     for entry, hall in halls_by_entry.items():
--- a/packages/leadford/src/leadford/protocol/_messages.py
+++ b/packages/leadford/src/leadford/protocol/_messages.py
@@ -403,7 +403,7 @@
 
 
 class LaneReport(_Base):
-    """Say what this entry still has at an endpoint whose group another one keeps."""
+    """Say what this entry still has at an endpoint that another one schedules."""
 
     endpoint_id: str
     result_bytes: int
