--- a/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_attempts.py
@@ -243,7 +243,7 @@
         if match.service.engine is not None:
             priority = min(PRIORITY_LOWEST, max(PRIORITY_HIGHEST, match.priority))
         return ForwardCall(
-            expected_instance=record.listed.endpoint_id,
+            endpoint_id=record.listed.endpoint_id,
             remaining_ms=max(REMAINING_LEAST_MS, left_ms),
             workspace=match.workspace_id,
             priority=priority,
--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -34,7 +34,8 @@
     deadline_ms: float | None = None
     last_event_id: int | None = None
     piece_counts: tuple[int, ...] | None = None
-    piece_key: str = ""
+    # Tells the pieces of this request that read nothing from those of others.
+    request_key: str = ""
     prompt: PromptShape = PromptShape((), 0)
     tokens_out: int = 0
     body: bytes = b""
@@ -43,7 +44,7 @@
     @property
     def fingerprint(self) -> str:
         """Return what tells that two requests are the same one sent again."""
-        return f"{self.piece_key}/{self.prompt.own_part}"
+        return f"{self.request_key}/{self.prompt.own_part}"
 
     @property
     def path(self) -> str:
@@ -57,7 +58,8 @@
     Units: remaining_ms is what is left of the caller's time.
     """
 
-    expected_instance: EndpointId
+    # The start of an endpoint that is meant; another process at its address refuses.
+    endpoint_id: EndpointId
     remaining_ms: float | None
     workspace: str | None
     priority: int | None = None
--- a/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_inputs.py
@@ -65,7 +65,7 @@
         self.job_ = StageJob(
             request_id=request.request_id,
             graph=graph.unwrap(),
-            private_key=request.piece_key,
+            request_key=request.request_key,
             is_urgent=route.is_urgent,
             delay_s=queue_delay_s(route, match.priority),
             deadline=deadline,
--- a/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_jobs.py
@@ -81,7 +81,7 @@
         *,
         request_id: RequestId,
         graph: PieceGraph,
-        private_key: str,
+        request_key: str,
         is_urgent: bool,
         delay_s: float,
         deadline: float,
@@ -91,7 +91,7 @@
     ) -> None:
         self.request_id = request_id
         self.graph = graph
-        self.private_key = private_key
+        self.request_key = request_key
         self.is_urgent = is_urgent
         self.delay_s = delay_s
         self.deadline = deadline
--- a/packages/leadford-server/src/leadford_server/forwarding/_tasks.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_tasks.py
@@ -39,7 +39,7 @@
             origin=self.entry_id,
             request_id=job.request_id,
             key=key,
-            private_key="" if stage.after else job.private_key,
+            request_key="" if stage.after else job.request_key,
             inputs=job.graph.inputs(key.stage),
             result_bytes=stage.result_bytes,
             deadline=job.deadline,
--- a/packages/leadford/src/leadford/forwarding/batching/_queue.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_queue.py
@@ -56,7 +56,7 @@
     origin: EntryId
     request_id: RequestId
     key: PieceKey
-    private_key: str
+    request_key: str
     inputs: tuple[ResultHandle, ...]
     result_bytes: int
     deadline: float
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
@@ -65,7 +65,7 @@
         origin=EntryId("origin"),
         request_id=RequestId(request),
         key=PieceKey(0, piece),
-        private_key="k",
+        request_key="k",
         inputs=(),
         result_bytes=size,
         deadline=100.0,
--- a/packages/leadford/src/leadford/protocol/_messages.py
+++ b/packages/leadford/src/leadford/protocol/_messages.py
@@ -332,7 +332,7 @@
     request_id: str
     stage: int
     piece: int
-    private_key: str
+    request_key: str
     inputs: list[str]
     result_bytes: int
     remaining_ms: float
