--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_live_attempts.py
@@ -0,0 +1,120 @@
+"""Hold the live attempts of a request of the own interface, and how each ends.
+
+Owns the link of each attempt. Records what attempts show of their endpoints, what they
+cost, and answers that match none of them. What follows is decided by the callers.
+"""
+
+from leadford.common import RequestId
+from leadford.events import Event
+from leadford.pipelines.costs import StageCost
+from leadford.pipelines.execution import Attempt, RequestExecution, StrayKind
+from leadford.protocol import Ack, Cancel, Done
+from leadford_server.metrics import COST_MS_TOTAL, STRAYS_TOTAL
+from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._directory import EndpointLink
+from leadford_server.pipelines.entry._services import EntryServices
+from leadford_server.pipelines.entry._trail import Trail
+
+
+class LiveAttempts:
+    """Hold the live attempts of one request."""
+
+    def __init__(
+        self,
+        *,
+        execution: RequestExecution,
+        body: RequestBody,
+        priority: int,
+        services: EntryServices,
+        trail: Trail,
+    ) -> None:
+        self.execution = execution
+        self.body = body
+        self.priority = priority
+        self.services = services
+        self.trail = trail
+        self.links_by_number_: dict[int, EndpointLink] = {}
+
+    @property
+    def request_id(self) -> RequestId:
+        """Return the id of the request."""
+        return self.execution.request_id
+
+    def settle_link(self, attempt: Attempt) -> EndpointLink:
+        """Count an attempt as ended at its endpoint, and return the link to it."""
+        link = self.links_by_number_[attempt.number]
+        link.view.note_ended(self.execution.stage.expected_tokens)
+        return link
+
+    def cancel_all(self) -> None:
+        """Cancel attempts that nobody waits for any more."""
+        for attempt in list(self.execution.live_by_number_.values()):
+            self.cancel(attempt)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt whose answer nobody waits for."""
+        link = self.settle_link(attempt)
+        if link.peer is not None:
+            link.peer.send(Cancel(self.request_id, attempt.stage, attempt.number))
+        self.execution.end_attempt(attempt)
+
+    def lose_race(self, attempt: Attempt) -> None:
+        """Cancel an attempt that another one has overtaken."""
+        now = self.services.clock()
+        self.note_unfinished(attempt, now)
+        self.services.directory.report_ejections(self.execution.stage.pool)
+        self.cancel(attempt)
+
+    def note_unfinished(self, attempt: Attempt, now: float) -> None:
+        """Tell the ejector how slow an attempt that is given up was at least."""
+        pool = self.services.directory.pool(self.execution.stage.pool)
+        if pool is None:
+            return
+        slowness = self._slowness_at_least(attempt, now)
+        if slowness is None:
+            pool.ejector.note_abandoned(attempt.endpoint_id)
+            return
+        pool.ejector.note_late(attempt.endpoint_id, slowness, now)
+
+    def _slowness_at_least(self, attempt: Attempt, now: float) -> float | None:
+        """Return the least time an attempt takes, against what is expected of it.
+
+        None while it may only have waited: a queue speaks of load, not of speed.
+        """
+        stage = self.execution.stage
+        elapsed_ms = (now - attempt.sent_at) * 1000.0
+        received = self.execution.sequences_by_number_.get(attempt.number, 0)
+        report = self.links_by_number_[attempt.number].view.report_
+        waits = report.queued > 0 or report.running >= report.concurrency
+        if waits and not received:
+            return None
+        if not stage.expected_tokens:
+            return elapsed_ms / stage.expected_ms
+        whole_ms = elapsed_ms / (received + 1) * stage.expected_tokens
+        return whole_ms / stage.expected_ms
+
+    def ack(self, attempt: Attempt) -> Ack:
+        """Return the message that lets an agent forget a result."""
+        return Ack(self.request_id, attempt.stage, attempt.number)
+
+    def account(self, done: Done, use: StageCost) -> None:
+        """Account for what an attempt cost."""
+        COST_MS_TOTAL.labels(stage=done.stage, use=use.value).inc(done.service_ms)
+        self.services.costs_.add(
+            stage=done.stage,
+            pipeline=self.execution.pipeline_id,
+            workspace=self.execution.workspace,
+            use=use,
+            service_ms=done.service_ms,
+        )
+
+    def report_stray(self, kind: StrayKind, stage: str, attempt: int) -> None:
+        """Count and log an answer that matches no live attempt."""
+        STRAYS_TOTAL.labels(kind=kind.value).inc()
+        self.services.log.report(
+            Event.ANSWER_STRAY,
+            request=self.request_id,
+            stage=stage,
+            attempt=attempt,
+            kind=kind.value,
+        )
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
@@ -29,8 +29,8 @@
     STRAYS_TOTAL,
 )
 from leadford_server.pipelines.entry._answers import Answer, Problem
-from leadford_server.pipelines.entry._attempts import PeerLost
 from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._deliveries import PeerLost
 from leadford_server.pipelines.entry._run import RequestRun, make_request_id
 from leadford_server.pipelines.entry._services import EntryServices
 from leadford_server.pipelines.entry._trail import Trail, TrailStep
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_run.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_run.py
@@ -13,12 +13,9 @@
 from leadford.protocol import ClaimVerdict, Note
 from leadford_server.metrics import RETRIES_TOTAL
 from leadford_server.pipelines.entry._answers import Answer, AnswerBuffer, Problem
-from leadford_server.pipelines.entry._attempts import (
-    Delivery,
-    StageAttempts,
-    make_failure,
-)
+from leadford_server.pipelines.entry._attempts import StageAttempts
 from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._deliveries import Delivery, make_failure
 from leadford_server.pipelines.entry._services import EntryServices
 from leadford_server.pipelines.entry._trail import Trail
 
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_settling.py
@@ -0,0 +1,167 @@
+"""Settle the attempts of a request's stages by what agents and connections say.
+
+Matches each delivery to a live attempt, records what it shows of the endpoint, and says
+how the attempt ended. Whether another attempt follows is decided in
+`leadford.pipelines.retries`.
+"""
+
+import msgspec
+
+from leadford.common import RefusalReason
+from leadford.pipelines.costs import StageCost
+from leadford.pipelines.retries import AttemptFailure, FailureKind
+from leadford.protocol import Done, DoneStatus, NotHeld, Refused
+from leadford_server.pipelines.entry._deliveries import (
+    AnswerDiverged,
+    Delivery,
+    PeerLost,
+    Settled,
+    make_failure,
+    reason_of,
+)
+from leadford_server.pipelines.entry._live_attempts import LiveAttempts
+from leadford_server.pipelines.entry._tokens import TokenStream
+
+# Characters of an endpoint's error that are kept with a failure.
+ERROR_KEPT = 80
+
+
+class AttemptSettler:
+    """Settle the attempts of one request."""
+
+    def __init__(self, *, live: LiveAttempts, tokens: TokenStream) -> None:
+        self.live = live
+        self.tokens = tokens
+
+    def take(self, message: Delivery, effect_before: bool) -> Settled | None:
+        """Return what a delivery means for its attempt; None where it ended none."""
+        match message:
+            case Done():
+                return self._take_done(message)
+            case Refused():
+                return self._take_refused(message, effect_before)
+            case AnswerDiverged():
+                return self._take_diverged(message)
+            case PeerLost():
+                return self._take_lost(message)
+            case NotHeld():
+                return self._take_not_held(message)
+        return None
+
+    def _take_diverged(self, diverged: AnswerDiverged) -> Settled | None:
+        """Give up an answer whose second half would not fit its first."""
+        matched = self.live.execution.match(diverged.stage, diverged.attempt)
+        attempt = matched.value_or(None)
+        if attempt is None:
+            return None
+        self.live.cancel(attempt)
+        failure = make_failure(
+            FailureKind.FAILED,
+            RefusalReason.ENDPOINT_LOST,
+            attempt.endpoint_id,
+            "another endpoint gave another text",
+        )
+        return Settled(failure)
+
+    def _take_done(self, done: Done) -> Settled | None:
+        accepted = self.live.execution.accept_done(done)
+        attempt = accepted.value_or(None)
+        if attempt is None:
+            self.live.report_stray(accepted.failure(), done.stage, done.attempt)
+            return None
+        link = self.live.settle_link(attempt)
+        now = self.live.services.clock()
+        pool = self.live.services.directory.pool(self.live.execution.stage.pool)
+        if done.status is not DoneStatus.OK:
+            if pool is not None:
+                pool.ejector.note_failure(
+                    attempt.endpoint_id, done.error[:ERROR_KEPT], now
+                )
+                self.live.services.directory.report_ejections(
+                    self.live.execution.stage.pool
+                )
+            self.live.account(done, StageCost.RETRIED)
+            if link.peer is not None:
+                link.peer.send(self.live.ack(attempt))
+            failure = make_failure(
+                FailureKind.FAILED,
+                RefusalReason.ENDPOINT_ERROR,
+                attempt.endpoint_id,
+                done.error,
+            )
+            return Settled(failure)
+        if pool is not None:
+            # What the endpoint bills shrinks with its batch; the clock does not. Taken
+            # against what is expected, stages of all lengths compare.
+            elapsed_ms = (now - attempt.sent_at) * 1000.0 - done.queue_ms
+            slowness = elapsed_ms / self.live.execution.stage.expected_ms
+            pool.ejector.note_success(attempt.endpoint_id, slowness, now)
+            self.live.services.directory.report_ejections(
+                self.live.execution.stage.pool
+            )
+        if self.live.body.prefix and done.prefill_tokens and not done.cached_tokens:
+            link.view.prefixes_.note_cached(self.live.body.prefix, now)
+        if self.live.execution.stage.hedge:
+            begun_at = self.tokens.first_token_at_ or now
+            elapsed_ms = (begun_at - attempt.sent_at) * 1000.0
+            self.live.services.hedge_policy(done.stage).note(elapsed_ms)
+        self.live.account(done, StageCost.USEFUL)
+        if not self.live.execution.is_final_stage and link.peer is not None:
+            link.peer.send(self.live.ack(attempt))
+        for slower in list(self.live.execution.live_by_number_.values()):
+            self.live.lose_race(slower)
+        self.live.execution.advance(done.result)
+        return Settled()
+
+    def _take_refused(self, refused: Refused, effect_before: bool) -> Settled | None:
+        matched = self.live.execution.match(refused.stage, refused.attempt)
+        attempt = matched.value_or(None)
+        if attempt is None:
+            self.live.report_stray(matched.failure(), refused.stage, refused.attempt)
+            return None
+        self.live.settle_link(attempt)
+        pool = self.live.services.directory.pool(self.live.execution.stage.pool)
+        if pool is not None:
+            pool.ejector.note_abandoned(attempt.endpoint_id)
+        if refused.begun:
+            self.live.execution.end_attempt(attempt)
+            kind = FailureKind.LOST
+        else:
+            self.live.execution.note_proved_not_begun(attempt, effect_before)
+            kind = FailureKind.REFUSED
+        reason = reason_of(refused.reason)
+        self.live.trail.add(
+            self.live.services.clock(),
+            f"{refused.stage}: {attempt.endpoint_id} refused, {reason.value}",
+        )
+        failure = make_failure(kind, reason, attempt.endpoint_id)
+        failure = msgspec.structs.replace(
+            failure, retry_after_ms=refused.retry_after_ms
+        )
+        return Settled(failure)
+
+    def _take_lost(self, lost: PeerLost) -> Settled | None:
+        failure: AttemptFailure | None = None
+        for attempt in list(self.live.execution.live_by_number_.values()):
+            if attempt.endpoint_id != lost.endpoint_id:
+                continue
+            self.live.settle_link(attempt)
+            self.live.execution.end_attempt(attempt)
+            pool = self.live.services.directory.pool(self.live.execution.stage.pool)
+            if pool is not None:
+                pool.ejector.note_abandoned(attempt.endpoint_id)
+            failure = make_failure(
+                FailureKind.LOST, RefusalReason.ENDPOINT_LOST, attempt.endpoint_id
+            )
+        return Settled(failure) if failure is not None else None
+
+    def _take_not_held(self, message: NotHeld) -> Settled | None:
+        matched = self.live.execution.match(message.stage, message.attempt)
+        attempt = matched.value_or(None)
+        if attempt is None:
+            return None
+        self.live.execution.end_attempt(attempt)
+        failure = make_failure(
+            FailureKind.LOST, RefusalReason.ENDPOINT_LOST, attempt.endpoint_id
+        )
+        return Settled(failure)
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/tests/test_attempts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/tests/test_attempts.py
@@ -33,8 +33,8 @@
     TokenPart,
     Tokens,
 )
-from leadford_server.pipelines.entry._attempts import PeerLost
 from leadford_server.pipelines.entry._body import RequestBody
+from leadford_server.pipelines.entry._deliveries import PeerLost
 from leadford_server.pipelines.entry._run import RequestRun
 
 CHECK = StageConfig(name="check", pool="p")
