--- /dev/null
+++ b/packages/leadford/src/leadford/forwarding/tests/test_wire_between_entries.py
@@ -0,0 +1,76 @@
+"""What entries of version aa4d73f send each other is still read, and sent the same."""
+
+import msgspec
+
+from leadford.forwarding.endpoints import ListedEndpoint, ListedState
+from leadford.forwarding.routes import ForwardConfig, RouteKind
+from leadford.protocol import (
+    EntryHeartbeat,
+    PieceAnswer,
+    PieceSubmit,
+    decode,
+    encode,
+)
+
+# Written by the code of commit aa4d73f. The configuration and the listing travel by
+# field name, the messages of a frame as arrays.
+CONFIG = bytes.fromhex(
+    "85a776657273696f6e24a6726f75746573918da8726f7574655f6964a27231a4686f7374ad72"
+    "6f6f6d732e6578616d706c65ab706174685f707265666978a62f68696e742fa46b696e64a673"
+    "747265616da873657276696365739182aa736572766963655f6964a16da6776569676874cb3f"
+    "f0000000000000aa74696d656f75745f6d73cb40bf400000000000a661696d5f6d73cb409900"
+    "0000000000ac617474656d7074735f6d617803a87072696f7269747900a67374616765739183"
+    "aa736572766963655f6964a173a5616674657290ac726573756c745f6279746573ce0016e360"
+    "a969735f7075626c6963c2ac69735f726573756d61626c65c3aa6761705f61696d5f6d73cb40"
+    "7f400000000000ae73657276696365735f62795f696482a17385aa736572766963655f6964a1"
+    "73af636f6e6e656374696f6e735f6d617807ab6865616c74685f70617468a22f68a670696563"
+    "657387a5736c6f747301a5717565756502a5626174636804a763616c6c5f6d73cb4069000000"
+    "000000a870696563655f6d73cb4045000000000000aa726f6f6d5f6279746573ce00895440ab"
+    "726574656e74696f6e5f73cb4010000000000000a6656e67696e65c0a16d85aa736572766963"
+    "655f6964a16daf636f6e6e656374696f6e735f6d617809ab6865616c74685f70617468a0a670"
+    "6965636573c0a6656e67696e6582a5736c6f747304ad6d656d6f72795f746f6b656e73cdea60"
+    "a66c696d69747384ac6865616465725f6279746573cd4000aa626f64795f6279746573ce0040"
+    "0000a96865616465725f6d73cb40a7700000000000a769646c655f6d73cb40cd4c0000000000"
+    "aa776f726b7370616365739183ac776f726b73706163655f6964a27731a46b65797391a56b65"
+    "792d31a87072696f7269747902"
+)
+LISTING = bytes.fromhex(
+    "9188ab656e64706f696e745f6964a3692d31aa736572766963655f6964a173a7616464726573"
+    "73ab31302e302e302e313a3830a468616c6ca26831a57374617465a8647261696e696e67a573"
+    "6c6f747304a7636f6c645f6d73cb4029000000000000a87265766973696f6e4d"
+)
+FRAME = bytes.fromhex(
+    "8218248c871821184d818461736172fb405e200000000000192328f581836173f50c81846266"
+    "31fb406f400000000000f5a1617304818363692d31190bb8018f181d07617361726271310102"
+    "62706b8163612f311905dcfb408c240000000000fb4089040000000000fb40a5e10000000000"
+    "8163692d32a1626831190bb885181e0763612f326063692d3185181e0860646c617465608218"
+    "26810782181f82080983182063692d318163612f32821822182383182318244178821824184c"
+    "831825184d417982182781836265316d31302e302e302e323a37373430626831"
+)
+
+
+def test_a_configuration_travels_as_before():
+    config = msgspec.msgpack.decode(CONFIG, type=ForwardConfig)
+    assert config.version == 36
+    route = config.routes[0]
+    assert (route.kind, route.is_resumable) == (RouteKind.STREAM, True)
+    assert config.services_by_id["s"].pieces.room_bytes == 9_000_000
+    assert config.services_by_id["m"].engine.memory_tokens == 60_000
+    assert config.workspaces[0].keys == ("key-1",)
+    assert msgspec.msgpack.encode(config) == CONFIG
+
+
+def test_a_listing_travels_as_before():
+    listed = msgspec.msgpack.decode(LISTING, type=list[ListedEndpoint])
+    assert listed[0].state is ListedState.DRAINING
+    assert (listed[0].cold_ms, listed[0].revision) == (12.5, 77)
+    assert msgspec.msgpack.encode(listed) == LISTING
+
+
+def test_messages_travel_as_before():
+    frame = decode(FRAME).unwrap()
+    assert frame.config_version == 36
+    kinds = [type(message) for message in frame.messages]
+    assert kinds[:3] == [EntryHeartbeat, PieceSubmit, PieceAnswer]
+    assert len(kinds) == 12
+    assert encode(36, list(frame.messages)) == FRAME
