--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -30,7 +30,7 @@
     headers: HeaderList
     received_at: float
     request_id: RequestId
-    key: str | None = None
+    api_key: str | None = None
     deadline_ms: float | None = None
     last_event_id: int | None = None
     piece_counts: tuple[int, ...] | None = None
--- a/packages/leadford-server/src/leadford_server/forwarding/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_request.py
@@ -21,7 +21,7 @@
 )
 from leadford.forwarding.retries import answer_due_at, request_deadline
 from leadford.forwarding.routes import (
-    LookupError,
+    LookupFailure,
     RouteKind,
     RouteMatch,
     StartDenial,
@@ -106,7 +106,7 @@
         found = None
         if table is not None:
             found = table.lookup(
-                request.host, request.path, request.key, self.state.random
+                request.host, request.path, request.api_key, self.state.random
             )
         if isinstance(found, Success):
             self.progress.match_ = found.unwrap()
@@ -117,7 +117,7 @@
         return True
 
     def _deny_start(
-        self, denial: StartDenial, found: Result[RouteMatch, LookupError] | None
+        self, denial: StartDenial, found: Result[RouteMatch, LookupFailure] | None
     ) -> None:
         """End a request that does not begin."""
         detail = DETAIL_BY_DENIAL[denial]
--- a/packages/leadford/src/leadford/forwarding/routes/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/routes/__init__.py
@@ -19,7 +19,7 @@
     Workspace,
 )
 from leadford.forwarding.routes._table import (
-    LookupError,
+    LookupFailure,
     LookupFault,
     RouteMatch,
     RouteTable,
@@ -30,7 +30,7 @@
     "PRIORITY_LOWEST",
     "EngineLimits",
     "ForwardConfig",
-    "LookupError",
+    "LookupFailure",
     "LookupFault",
     "PieceLimits",
     "ProcessAge",
--- a/packages/leadford/src/leadford/forwarding/routes/_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_denial.py
@@ -14,7 +14,7 @@
 from returns.result import Failure, Result, Success
 
 from leadford.forwarding.routes._model import RouteKind
-from leadford.forwarding.routes._table import LookupError, LookupFault, RouteMatch
+from leadford.forwarding.routes._table import LookupFailure, LookupFault, RouteMatch
 
 # Seconds since the store last confirmed the configuration, after which a missing route
 # or key may be news that this process has not heard. The value was not measured.
@@ -58,7 +58,7 @@
 
 
 def decide_start(
-    found: Result[RouteMatch, LookupError] | None, age: ProcessAge
+    found: Result[RouteMatch, LookupFailure] | None, age: ProcessAge
 ) -> Result[RouteMatch, StartDenial]:
     """Return what the configuration says of a request that may begin, or why not.
 
--- a/packages/leadford/src/leadford/forwarding/routes/_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_table.py
@@ -28,7 +28,7 @@
     NO_KEY = "no-key"
 
 
-class LookupError(msgspec.Struct, frozen=True):
+class LookupFailure(msgspec.Struct, frozen=True):
     """Describe a failed lookup and the version it was made with."""
 
     fault: LookupFault
@@ -86,17 +86,17 @@
         return None
 
     def lookup(
-        self, host: str, path: str, key: str | None, random: Random
-    ) -> Result[RouteMatch, LookupError]:
+        self, host: str, path: str, api_key: str | None, random: Random
+    ) -> Result[RouteMatch, LookupFailure]:
         """Return what holds for a request, or why it is not allowed."""
         version = self.config.version
         route = self.match(host, path)
         if route is None:
-            return Failure(LookupError(LookupFault.NO_ROUTE, version))
-        workspace = self.workspaces_by_key.get(key) if key else None
+            return Failure(LookupFailure(LookupFault.NO_ROUTE, version))
+        workspace = self.workspaces_by_key.get(api_key) if api_key else None
         needs_key = bool(self.config.workspaces) and not route.is_public
         if workspace is None and needs_key:
-            return Failure(LookupError(LookupFault.NO_KEY, version))
+            return Failure(LookupFailure(LookupFault.NO_KEY, version))
         service_id = choose_service(route, random)
         service = self.config.services_by_id.get(service_id)
         if service is None:
--- a/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from leadford.forwarding.routes import (
-    LookupError,
+    LookupFailure,
     LookupFault,
     ProcessAge,
     Route,
@@ -37,7 +37,7 @@
 
 
 def missing(fault):
-    return Failure(LookupError(fault, 7))
+    return Failure(LookupFailure(fault, 7))
 
 
 def test_what_a_configuration_allows_begins():
