--- a/packages/leadford-server/src/leadford_server/forwarding/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_groups.py
@@ -9,7 +9,6 @@
 from leadford.common import EndpointId, EntryId, HallId
 from leadford.forwarding.batching import (
     GroupId,
-    GroupLoad,
     GroupTable,
     PieceGraph,
     schedulers_in_order,
@@ -66,7 +65,7 @@
             near[group] = max(near.get(group, 0), near_bytes)
         if not counts:
             counts = self.state.groups_.usable_by_group(stage.service_id, now)
-        self._look_at_own(counts, now)
+        self._look_at_own(counts)
         most = max(near_bytes_by_hall.values(), default=0)
         return self.loads_.choose(
             counts,
@@ -126,7 +125,7 @@
             return {}
         now = self.state.now()
         counts_by_group = self.state.groups_.usable_by_group(stage.service_id, now)
-        self._look_at_own(counts_by_group, now)
+        self._look_at_own(counts_by_group)
         wait_ms_by_group = {
             group: self.loads_.wait_s(group, service.pieces, count, now) * 1_000.0
             for group, count in counts_by_group.items()
@@ -138,12 +137,9 @@
             if group in wait_ms_by_group
         }
 
-    def _look_at_own(self, groups: Iterable[GroupId], now: float) -> None:
+    def _look_at_own(self, groups: Iterable[GroupId]) -> None:
         """Look at the groups that are scheduled here rather than wait for a report."""
         for group in groups:
             if self.scheduler_of(group) != self.entry_id:
                 continue
-            load = GroupLoad(
-                self.scheduler.wait_s(group), self.scheduler.room_bytes(group), now
-            )
-            self.loads_.record_load(group, load)
+            self.loads_.record_load(group, self.scheduler.load(group))
--- a/packages/leadford-server/src/leadford_server/forwarding/_heartbeats.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_heartbeats.py
@@ -78,17 +78,16 @@
 
     def _group_reports(self, groups: set[GroupId]) -> list[GroupReport]:
         """Return the load of the groups that this entry schedules."""
-        scheduler = self.stages.scheduler_
-        return [
-            GroupReport(
-                group.service_id,
-                group.place,
-                round(scheduler.wait_s(group) * 1_000.0, 1),
-                scheduler.room_bytes(group),
+        reports = []
+        for group in groups:
+            if self.stages.groups.scheduler_of(group) != self.entry_id:
+                continue
+            load = self.stages.scheduler_.load(group)
+            wait_ms = round(load.wait_s * 1_000.0, 1)
+            reports.append(
+                GroupReport(group.service_id, group.place, wait_ms, load.room_bytes)
             )
-            for group in groups
-            if self.stages.groups.scheduler_of(group) == self.entry_id
-        ]
+        return reports
 
     def _backlog_reports(self) -> list[CommitmentReport]:
         """Return the pieces that this entry has admitted and not yet had made."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_scheduler.py
@@ -17,6 +17,7 @@
     CapacityUse,
     FillAction,
     GroupId,
+    GroupLoad,
     PieceFailure,
     PieceQueue,
     PieceTask,
@@ -99,28 +100,19 @@
         for group in list(self.queues_by_group_):
             self._dispatch(group)
 
-    def wait_s(self, group: GroupId) -> float:
-        """Return how long a piece that joins a group now waits for its call."""
-        service = self.state.service(group.service_id)
-        if service is None or service.pieces is None:
-            return float("inf")
-        return self.capacities_.wait_s(
-            self._records(group),
-            service.pieces,
-            waiting=len(self.queues_by_group_.get(group, ())),
-            now=self.state.now(),
-        )
-
-    def room_bytes(self, group: GroupId) -> int:
-        """Return the room that results and waiting pieces leave in a group."""
+    def load(self, group: GroupId) -> GroupLoad:
+        """Return how long a piece that joins a group now waits, and its room."""
+        now = self.state.now()
         service = self.state.service(group.service_id)
         if service is None or service.pieces is None:
-            return 0
-        room = self.capacities_.room_bytes(
-            self._records(group), service.pieces, self.state.now()
+            return GroupLoad.unavailable(now)
+        records = self._records(group)
+        queue = self.queues_by_group_.get(group, PieceQueue())
+        wait_s = self.capacities_.wait_s(
+            records, service.pieces, waiting=len(queue), now=now
         )
-        queue = self.queues_by_group_.get(group)
-        return room - (queue.waiting_bytes() if queue is not None else 0)
+        room_bytes = self.capacities_.room_bytes(records, service.pieces, now)
+        return GroupLoad(wait_s, room_bytes - queue.waiting_bytes(), now)
 
     def uses_left(
         self, scheduled_by_others: Callable[[GroupId], bool]
--- a/packages/leadford-server/src/leadford_server/forwarding/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_stages.py
@@ -285,8 +285,8 @@
         job.graph.record_failed(key)
         if decision.action is RemakeAction.REMAKE_LATER:
             # The scheduler's listing differs from ours: give both a moment to agree.
-            now = self.state.now()
-            self.groups.loads_.record_load(sent.group, GroupLoad(float("inf"), 0, now))
+            load = GroupLoad.unavailable(self.state.now())
+            self.groups.loads_.record_load(sent.group, load)
             self.state.loop.call_later(NO_ENDPOINT_WAIT_S, self._advance, job)
             return
         self._advance(job)
--- a/packages/leadford/src/leadford/forwarding/batching/_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_filling.py
@@ -16,6 +16,7 @@
 Sending the call, and making lost pieces again (`_remake`), are left to others.
 """
 
+from collections.abc import Callable
 from enum import Enum
 from functools import partial
 
@@ -79,18 +80,13 @@
         if capacity.awaits_room(queue.first_bytes(limits.batch), now):
             continue
         room_bytes = capacities.room_left(endpoint_id, limits, now)
+        waits_for_other_hall = _hall_rule(hall, free_in_s_by_hall, limits, now)
         tasks = queue.take(
             batch=limits.batch,
             room_bytes=room_bytes,
             endpoint_id=endpoint_id,
             hall=hall,
-            waits_for_other_hall=partial(
-                Chunk.waits_for_other_hall,
-                hall=hall,
-                free_in_s_by_hall=free_in_s_by_hall,
-                limits=limits,
-                now=now,
-            ),
+            waits_for_other_hall=waits_for_other_hall,
         )
         if tasks:
             return NextCall(FillAction.SEND, record, tuple(tasks), room_bytes)
@@ -138,5 +134,21 @@
     return free_in_s
 
 
+def _hall_rule(
+    hall: HallId,
+    free_in_s_by_hall: dict[HallId, float],
+    limits: PieceLimits,
+    now: float,
+) -> Callable[[Chunk], bool]:
+    """Return whether pieces stay away from an endpoint of `hall`."""
+    return partial(
+        Chunk.waits_for_other_hall,
+        hall=hall,
+        free_in_s_by_hall=free_in_s_by_hall,
+        limits=limits,
+        now=now,
+    )
+
+
 def _excludes_all(task: PieceTask, records: list[EndpointRecord]) -> bool:
     return all(record.listed.endpoint_id in task.excluded for record in records)
--- a/packages/leadford/src/leadford/forwarding/batching/_groups.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_groups.py
@@ -88,6 +88,11 @@
     room_bytes: int
     heard_at: float
 
+    @classmethod
+    def unavailable(cls, now: float) -> "GroupLoad":
+        """Return the load of a group that takes no pieces now."""
+        return cls(float("inf"), 0, now)
+
 
 def schedulers_in_order(
     group: GroupId, halls_by_entry: dict[EntryId, HallId], regions: RegionMap
