--- a/packages/leadford/src/leadford/pipelines/routing/_base.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_base.py
@@ -1,4 +1,9 @@
-"""Define what a routing policy sees and the contract it fulfils."""
+"""Define what a routing policy sees and the contract it fulfils.
+
+Owned by the directory of an entry, which keeps an `EndpointView` for each endpoint and
+records there what the endpoint's agent reports and what the entry itself sends.
+Policies read the views and change nothing. Times are passed in.
+"""
 
 from random import Random
 from typing import Protocol
@@ -8,7 +13,9 @@
 from leadford.common import EndpointId, HallId, Objective, Registry
 from leadford.pipelines.routing._prefixes import PrefixIndex
 
+# Seconds after which half of a load report still counts; commit 7457c0a, not measured.
 REPORT_HALF_LIFE_S = 1.0
+# Priorities of a request are 0, which goes first, to 9.
 PRIORITIES = 10
 
 
@@ -38,8 +45,13 @@
 class EndpointView:
     """Hold what this process knows of one endpoint.
 
-    Units: slow_start_s and times are seconds; unreported counts own attempts that
-    the last load report cannot have seen.
+    `reported_` is what the last report says is there, `unreported_` the attempts of
+    this process that the report cannot have seen, `outstanding_` all attempts of this
+    process there. `ahead_ms_` is the expected service that waits, for each priority
+    together with those before it; `load_` is the attempts there by the slots, the order
+    of the shortlist.
+
+    Units: distance_ms one way, joined_at_s of the clock that is passed in.
     """
 
     def __init__(
@@ -114,7 +126,7 @@
         self._sum_load()
 
     def note_report(self, report: LoadReport) -> None:
-        """Take in a newer load report, summed for the decisions that follow."""
+        """Record a newer load report, summed for the decisions that follow."""
         self.report_ = report
         self.reported_ = report.queued + report.running
         self.unreported_ = 0
@@ -126,7 +138,7 @@
         self._sum_load()
 
     def _sum_load(self) -> None:
-        """Keep a plain measure of load that is cheap to sort by."""
+        """Recompute the measure of load that the shortlist sorts by."""
         ahead = max(self.reported_ + self.unreported_, self.outstanding_)
         self.load_ = ahead / self.report_.concurrency
 
--- a/packages/leadford/src/leadford/pipelines/routing/_baselines.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_baselines.py
@@ -1,4 +1,8 @@
-"""Provide the plain policies that ours is compared with."""
+"""Provide the plain policies that `expected_finish` is compared with.
+
+The configuration may name one (`routing` of the tuning or of a pool); comparisons are
+in docs/measurements. They count attempts only, and do not fade reports with age.
+"""
 
 from random import Random
 
--- a/packages/leadford/src/leadford/pipelines/routing/_expected_finish.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_expected_finish.py
@@ -1,4 +1,19 @@
-"""Choose by expected finish: queue, batch, prefix, distance and age of the report."""
+"""Choose the endpoint of an attempt by when the attempt would probably finish there.
+
+The routing policy of leadford's own interface; the deployed program chooses in
+`leadford.forwarding.endpoints`. An entry asks for every attempt, with the views of the
+endpoints that may take it (`_base.EndpointView`). The score adds, in this order:
+
+1. the way there and back, and a draw that breaks near ties;
+2. the wait in the queue, if more attempts are there than may run at once;
+3. the attempt itself: for a generation, its tokens in the batch that is there, and its
+   prompt, less what the endpoint probably holds of it;
+4. a penalty for an endpoint that joined a moment ago.
+
+Where the deployment optimises cost, a generation goes to the fullest engine that is
+still in time. Which endpoints may be asked at all (ejected, draining, without the
+model) is decided before.
+"""
 
 from heapq import nlargest, nsmallest
 from operator import attrgetter
@@ -12,15 +27,28 @@
     routing_policies,
 )
 
+# Seconds in which an endpoint that joined is brought to its full share, and the part of
+# the share with which it begins; commit 7457c0a, neither was measured.
 SLOW_START_S = 5.0
 SLOW_START_FLOOR = 0.2
+# Milliseconds that a token of the prompt takes, and the part of them that a held prefix
+# saves; commit 7457c0a, neither was measured. What the choice by prefix gains is in
+# docs/measurements/prefixes.md.
 PREFILL_MS_PER_TOKEN = 0.25
 PREFIX_HIT_FRACTION = 0.9
+# Milliseconds within which scores count as equal and a draw decides; not measured.
 TIE_MS = 1.0
+# With cost: the part of an engine's slots up to which it is filled, and how many times
+# the score must fit into what is left. Commit e74b27e: the cost of a weighted request
+# fell from 1.199 to 0.826 on the admissions trace; the two values were not varied.
 COST_FILL_MAX = 0.85
 COST_SLACK = 1.5
+# Milliseconds by which a full engine goes before an empty one: more than any score.
 COST_RANK_MS = 1e6
+# Part by which each other stream slows a stream; commit 54c6829, not measured.
 BATCH_SLOPE = 0.05
+# Endpoints that are scored, and as many fullest and holders of the prefix. Commit
+# 54c6829: a choice among 40 takes 39 us, 119 us when all are scored.
 SHORTLIST = 8
 
 _LOAD = attrgetter("load_")
--- a/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
@@ -1,8 +1,15 @@
-"""Remember which prompt prefixes an endpoint has probably cached."""
+"""Remember which prompt prefixes an endpoint has probably cached.
+
+One index for each `EndpointView`. A prefix is recorded when an attempt with it was sent
+there or the endpoint reported it; nothing confirms that the endpoint keeps it, so a
+prefix counts for a bounded time and only the newest are kept.
+"""
 
 from collections import OrderedDict
 
+# Prefixes kept for each endpoint; commit 7457c0a, not measured.
 PREFIXES_KEPT = 256
+# Seconds for which a prefix counts as cached; commit 7457c0a, not measured.
 HINT_LIFETIME_S = 120.0
 
 
@@ -17,7 +24,7 @@
         self.seen_at_by_prefix_: OrderedDict[str, float] = OrderedDict()
 
     def note_cached(self, prefix: str, now: float) -> None:
-        """Take in that a prefix was sent to or reported by the endpoint."""
+        """Record that a prefix was sent to or reported by the endpoint."""
         if not prefix:
             return
         self.seen_at_by_prefix_[prefix] = now
