--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -73,7 +73,7 @@
     draw = Random(1)
     for number in range(count):
         view = EndpointView(endpoint_id=f"engine-{number}", hall="h", concurrency=8)
-        view.note_report(
+        view.record_report(
             LoadReport(
                 queued=draw.randrange(20),
                 running=8,
@@ -82,7 +82,7 @@
                 concurrency=8,
             )
         )
-        view.prefixes_.note_cached(f"p{number}", 0.0)
+        view.prefixes_.record_cached(f"p{number}", 0.0)
         views.append(view)
     return views
 
@@ -197,9 +197,9 @@
 
     def log_of(size: int) -> ClaimLog:
         log = ClaimLog(shard=0, ring=256, retention_s=3600.0)
-        log.note_read(0, SlotView(0, None), 0.0)
+        log.record_read(0, SlotView(0, None), 0.0)
         ids = {f"k{n:032x}": f"{n:016x}" for n in range(size)}
-        log._note_tail(SlotView(1, ClaimSlot(0, (ClaimBatch("b", 0.0, ids),))))
+        log._record_tail(SlotView(1, ClaimSlot(0, (ClaimBatch("b", 0.0, ids),))))
         return log
 
     held = [memory_bytes(lambda s=s: log_of(s)) for s in sizes]
--- a/packages/leadford-cli/src/leadford_cli/replay/_caller.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_caller.py
@@ -62,7 +62,7 @@
         self.rest_ = b""
 
     def feed(self, chunk: bytes) -> None:
-        """Take in bytes."""
+        """Handle bytes as they come."""
         *events, self.rest_ = (self.rest_ + chunk).split(b"\n\n")
         for event in events:
             self._take(event)
@@ -122,7 +122,7 @@
             record.tries += 1
             response = await self._send(request, record, body, stream)
             if response is not None and response.code != NO_ANSWER:
-                self._note_answer(record, response, stream)
+                self._record_answer(record, response, stream)
                 if record.outcome != "unanswered":
                     break
             if not self._may_come_back(record, stream, response):
@@ -173,7 +173,7 @@
         if stream is not None:
             stream.reset_connection()
             call.streaming_callback = stream.feed
-            call.header_callback = lambda line: _note_id(line, record)
+            call.header_callback = lambda line: _record_id(line, record)
         return await fetch(self.http, call)
 
     def _may_come_back(
@@ -188,7 +188,7 @@
         # Without a key, a call that may have arrived must not be made again.
         return "connect" in str(response.error).lower()
 
-    def _note_answer(
+    def _record_answer(
         self, record: CallRecord, response: HTTPResponse, stream: _StreamState | None
     ) -> None:
         record.status = response.code
@@ -215,7 +215,7 @@
             record.reason = f"status {response.code}"
 
 
-def _note_id(line: str, record: CallRecord) -> None:
+def _record_id(line: str, record: CallRecord) -> None:
     name, _, value = line.partition(":")
     if name.lower() != "leadford-request-id":
         return
--- a/packages/leadford-server/src/leadford_server/peers/_connection.py
+++ b/packages/leadford-server/src/leadford_server/peers/_connection.py
@@ -48,16 +48,16 @@
     """Take what happens on connections."""
 
     def peer_connected(self, peer: "PeerConnection") -> None:
-        """Take in that a connection stands."""
+        """Record that a connection stands."""
 
     def peer_lost(self, peer: "PeerConnection") -> None:
-        """Take in that a connection ended."""
+        """Drop a connection that ended."""
 
     def peer_message(self, peer: "PeerConnection", message: Message) -> None:
-        """Take in one message."""
+        """Handle one message."""
 
     def peer_version(self, peer: "PeerConnection", version: int) -> None:
-        """Take in that a peer runs another configuration version than before."""
+        """Record that a peer runs another configuration version than before."""
 
 
 class PeerConnection:
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
@@ -151,7 +151,7 @@
         self.crossed_ = False
 
     def feed(self, chunk: bytes) -> None:
-        """Take in bytes."""
+        """Handle bytes as they come."""
         *events, self.rest_ = (self.rest_ + chunk).split(b"\n\n")
         texts: list[str] = []
         for event in events:
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
@@ -21,7 +21,7 @@
         self.dirty_keys_: dict[str, None] = {}
         self.tick_: asyncio.TimerHandle | None = None
 
-    def note_tokens(self, kept: KeptResult, *, first: bool) -> None:
+    def on_tokens(self, kept: KeptResult, *, first: bool) -> None:
         """Send new tokens: the first of a stream at once, the others with the tick."""
         self.dirty_keys_[kept.key] = None
         if first:
@@ -29,7 +29,7 @@
             return
         self._schedule()
 
-    def note_end(self, kept: KeptResult) -> None:
+    def on_end(self, kept: KeptResult) -> None:
         """Send an end at once."""
         self.dirty_keys_[kept.key] = None
         self.flush()
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
@@ -112,4 +112,4 @@
         response = await fetch(self.http, request)
         if response.code == NO_ANSWER:
             self.log.report(Event.ORDER_IN_DOUBT, **order)
-            self.desk.note_lost(step, time.monotonic())
+            self.desk.record_lost(step, time.monotonic())
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
@@ -145,25 +145,25 @@
         self.keeper_.start()
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Take in a connection of an entry."""
+        """Register a connection of an entry."""
         self.peers_.add(peer)
         self.follower_.peer_connected(peer)
         if self.service_ is not None:
             self.service_.peer_connected(peer)
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """Take in that a connection ended."""
+        """Drop a connection that ended."""
         self.peers_.discard(peer)
         self.follower_.peer_lost(peer)
         if self.service_ is not None:
             self.service_.peer_lost(peer)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
-        """Take in the configuration version of a peer."""
+        """Record the configuration version of a peer."""
         self.follower_.peer_version(peer, version)
 
     def peer_message(self, peer: PeerConnection, message: Message) -> None:
-        """Take in a message."""
+        """Handle a message."""
         if self.follower_.peer_message(peer, message):
             return
         if isinstance(message, PlanOrder):
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_service.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_service.py
@@ -115,7 +115,7 @@
         self.reported_token_ms_ = 0.0
 
     def apply_config(self, config: FleetConfig, pool: PoolConfig) -> None:
-        """Take in a newer configuration; what is queued stays queued."""
+        """Apply a newer configuration; what is queued stays queued."""
         self.config_ = config
         self.pool_ = pool
         self.admission_.concurrency = pool.concurrency
@@ -128,7 +128,7 @@
         return self.config_.terms(workspace)
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Take in a connection of an entry."""
+        """Register a connection of an entry."""
         self.peers_by_id_[peer.info.peer_id] = peer
         peer.send(self.load())
         if self.draining_:
@@ -141,7 +141,7 @@
             self.results_.detach_peer(peer.info.peer_id)
 
     def peer_message(self, peer: PeerConnection, message: Message) -> None:
-        """Take in a message of an entry."""
+        """Handle a message of an entry."""
         match message:
             case Submit():
                 self._submit(peer, message)
@@ -279,7 +279,7 @@
         kept = self.results_.open(key, submit.workspace, now)
         kept.attach(peer.info.peer_id, 0, submit.credit)
         self.attempts_by_key_[key] = RunningAttempt(submit=submit, item=item, kept=kept)
-        self.headroom_.note_arrived(item.priority, now)
+        self.headroom_.record_arrived(item.priority, now)
         self.queue_.push(item)
         self._pump()
 
@@ -325,11 +325,11 @@
             if reason is not None:
                 self._drop_queued(attempt, reason)
                 continue
-            self.headroom_.note_started(item.priority)
+            self.headroom_.record_started(item.priority)
             self.running_ += 1
             self.tokens_in_flight_ += attempt.submit.expected_tokens
             if not attempt.submit.repeatable:
-                self._note_effect(attempt.submit)
+                self._record_effect(attempt.submit)
             attempt.task_ = asyncio.create_task(self._run(attempt))
         QUEUED_ATTEMPTS.set(len(self.queue_))
         RUNNING_ATTEMPTS.set(self.running_)
@@ -356,7 +356,7 @@
         self.pump_timer_ = None
         self._pump()
 
-    def _note_effect(self, submit: Submit) -> None:
+    def _record_effect(self, submit: Submit) -> None:
         self.effects_begun_[f"{submit.request_id}/{submit.stage}"] = None
         if len(self.effects_begun_) > STAGES_BEGUN_KEPT:
             del self.effects_begun_[next(iter(self.effects_begun_))]
@@ -364,7 +364,7 @@
     def _drop_queued(self, attempt: RunningAttempt, reason: RefusalReason) -> None:
         key = attempt.item.key
         del self.attempts_by_key_[key]
-        self.headroom_.note_left(attempt.item.priority, self.clock(), ran=False)
+        self.headroom_.record_left(attempt.item.priority, self.clock(), ran=False)
         for peer_id in list(attempt.kept.cursors_by_peer_):
             self._refuse(self.peers_by_id_.get(peer_id), attempt.submit, reason)
         self.results_.discard(key)
@@ -392,7 +392,7 @@
         if outcome.status is DoneStatus.OK:
             self.admission_.estimate_.note(submit.stage, service_ms, tokens)
         elif submit.expected_tokens:
-            self.admission_.estimate_.note_partial(service_ms, tokens)
+            self.admission_.estimate_.record_partial(service_ms, tokens)
         self._finish(attempt, outcome, service_ms, queue_ms)
 
     def _sink(self, attempt: RunningAttempt) -> TokenSink:
@@ -402,7 +402,7 @@
                 return
             first = not attempt.kept.texts_
             attempt.kept.append(texts, model_version)
-            self.feeder_.note_tokens(attempt.kept, first=first)
+            self.feeder_.on_tokens(attempt.kept, first=first)
             self._report_load()
 
         return take
@@ -417,7 +417,7 @@
         submit = attempt.submit
         kept = attempt.kept
         key = attempt.item.key
-        self.headroom_.note_left(attempt.item.priority, self.clock(), ran=True)
+        self.headroom_.record_left(attempt.item.priority, self.clock(), ran=True)
         self.running_ -= 1
         self.tokens_in_flight_ -= submit.expected_tokens
         del self.attempts_by_key_[key]
@@ -442,7 +442,7 @@
             model_version=outcome.model_version,
         )
         self.results_.end(kept, done, self.clock())
-        self.feeder_.note_end(kept)
+        self.feeder_.on_end(kept)
         self._pump()
 
     def _cancel(self, key: str) -> None:
--- a/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
@@ -110,7 +110,7 @@
         return Success(self.data_by_key_)
 
     def take(self, message: Message) -> None:
-        """Take in an answer of the peer."""
+        """Handle an answer of the peer."""
         if isinstance(message, HeadAnswer):
             if self.head_answer_ is not None and not self.head_answer_.done():
                 self.head_answer_.set_result(message)
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_answers.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_answers.py
@@ -76,7 +76,7 @@
         return not self.gone_
 
     def leave(self) -> None:
-        """Take in that the caller is gone."""
+        """Record that the caller is gone."""
         self.gone_ = True
         self.wake_.set()
 
@@ -93,7 +93,7 @@
         self.readers_: set[AnswerReader] = set()
         self.consumed_ = 0
 
-    def note_grown(self) -> None:
+    def wake_readers(self) -> None:
         """Wake the readers: tokens were added."""
         for reader in self.readers_:
             reader.wake_.set()
@@ -103,10 +103,10 @@
         if self.final_ is not None:
             raise AssertionError("a request was answered twice")
         self.final_ = answer
-        self.note_grown()
+        self.wake_readers()
 
-    def note_consumed(self, sequence: int) -> None:
-        """Take in that a reader was sent tokens up to a sequence."""
+    def record_consumed(self, sequence: int) -> None:
+        """Record that a reader was sent tokens up to a sequence."""
         if sequence > self.consumed_:
             self.consumed_ = sequence
             self.on_consumed(sequence)
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_attempts.py
@@ -239,6 +239,6 @@
         stage = self.live.execution.stage
         for attempt in self.live.execution.live_by_number_.values():
             endpoint_id = attempt.endpoint_id
-            self.live.note_unfinished(attempt, now)
+            self.live.record_unfinished(attempt, now)
         self.live.services.directory.report_ejections(stage.pool)
         return make_failure(FailureKind.LOST, RefusalReason.DEADLINE, endpoint_id)
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_claims.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_claims.py
@@ -131,12 +131,12 @@
             view = SlotView(0, None)
             if isinstance(read, Failure):
                 if read.failure().kind is not StoreErrorKind.NOT_FOUND:
-                    self.pace.note_answer(0.0, ok=False)
+                    self.pace.record_answer(0.0, ok=False)
                     return False
             else:
                 value = read.unwrap()
                 view = SlotView(value.version, decode_slot(value.data))
-            self.log.note_read(position, view, self.wall())
+            self.log.record_read(position, view, self.wall())
         return True
 
     async def _write(self, claims: list[PendingClaim]) -> None:
@@ -176,15 +176,15 @@
         put = await self.store.put(write.name, write.data, write.expected_version)
         elapsed_s = self.clock() - started_at
         if not isinstance(put, Failure):
-            self.pace.note_answer(elapsed_s, ok=True)
-            self.log.note_written(write, put.unwrap())
+            self.pace.record_answer(elapsed_s, ok=True)
+            self.log.record_written(write, put.unwrap())
             return ClaimVerdict.GRANTED
         kind = put.failure().kind
-        self.log.note_in_doubt()
+        self.log.record_in_doubt()
         if kind is StoreErrorKind.CONFLICT:
             self.events.report(Event.CLAIM_CONFLICT, slot=write.name)
             return None
-        self.pace.note_answer(elapsed_s, ok=False)
+        self.pace.record_answer(elapsed_s, ok=False)
         if kind is StoreErrorKind.IN_DOUBT:
             self.events.report(Event.CLAIM_ANSWER_LOST, slot=write.name)
             return None
@@ -233,7 +233,7 @@
         self.abandoned_by_request_: OrderedDict[str, str] = OrderedDict()
 
     def apply_config(self, config: FleetConfig) -> None:
-        """Take in a configuration; the ring's shape is fixed by the first."""
+        """Apply a configuration; the ring's shape is fixed by the first."""
         self.config_ = config
 
     async def claim(self, request_id: RequestId, remaining_s: float) -> ClaimVerdict:
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
@@ -108,7 +108,7 @@
         self.started_ = False
 
     def apply_config(self, config: FleetConfig) -> None:
-        """Take in a configuration: change subsets, policies and connections."""
+        """Apply a configuration: change subsets, policies and connections."""
         self.config_ = config
         wanted: dict[EndpointId, EndpointConfig] = {}
         for pool_id, pool_config in config.pools.items():
@@ -180,7 +180,7 @@
             models=config.models,
         )
         dialer = self.dialers.make(
-            config.agent, lambda: self.note_unreachable(endpoint_id)
+            config.agent, lambda: self.record_unreachable(endpoint_id)
         )
         return EndpointLink(config=config, view=view, dialer=dialer)
 
@@ -249,14 +249,14 @@
         pool = self.pools_by_id_[PoolId(link.config.pool)]
         return pool.ejector.state(link.view.endpoint_id).value
 
-    def note_load(self, endpoint_id: EndpointId, load: Load) -> None:
-        """Take in a load report."""
+    def record_load(self, endpoint_id: EndpointId, load: Load) -> None:
+        """Record a load report."""
         link = self.links_by_id_.get(endpoint_id)
         link = link or self.extra_links_by_id_.get(endpoint_id)
         if link is None:
             return
         link.view.held_models_ = tuple((m.model, m.version) for m in load.models)
-        link.view.note_report(
+        link.view.record_report(
             LoadReport(
                 at_s=self.clock(),
                 queued=load.queued,
@@ -272,8 +272,8 @@
             )
         )
 
-    def note_draining(self, endpoint_id: EndpointId, draining: bool) -> None:
-        """Take in that an agent announced or withdrew a drain."""
+    def record_draining(self, endpoint_id: EndpointId, draining: bool) -> None:
+        """Record that an agent announced or withdrew a drain."""
         link = self.links_by_id_.get(endpoint_id)
         if link is None or link.announced_draining_ == draining:
             return
@@ -281,9 +281,9 @@
         if draining:
             self.log.report(Event.ENDPOINT_DRAINING, endpoint=endpoint_id)
 
-    def note_reached(self, endpoint_id: EndpointId) -> None:
-        """Take in that a connection stands."""
-        self.halls_.note_reached(endpoint_id)
+    def record_reached(self, endpoint_id: EndpointId) -> None:
+        """Record that a connection stands."""
+        self.halls_.record_reached(endpoint_id)
         link = self.links_by_id_.get(endpoint_id)
         if link is None:
             return
@@ -292,9 +292,9 @@
         link.view.outstanding_tokens_ = 0
         link.view.unreported_ = 0
 
-    def note_unreachable(self, endpoint_id: EndpointId) -> None:
-        """Take in that a connection was lost or could not be made."""
-        hall = self.halls_.note_unreachable(endpoint_id, self.clock())
+    def record_unreachable(self, endpoint_id: EndpointId) -> None:
+        """Record that a connection was lost or could not be made."""
+        hall = self.halls_.record_unreachable(endpoint_id, self.clock())
         if hall is not None:
             self.log.report(Event.HALL_LOST, hall=hall)
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
@@ -52,7 +52,7 @@
         self.waiting_by_request_: dict[str, list[asyncio.Future[Note | None]]] = {}
 
     def apply_config(self, config: FleetConfig) -> None:
-        """Take in which entries there are."""
+        """Record which entries there are."""
         self.configs_by_id_ = {EntryId(i): c for i, c in config.entries.items()}
         self.ids_ = tuple(sorted(config.entries))
         for entry_id, dialer in list(self.dialers_by_id_.items()):
@@ -127,7 +127,7 @@
                 yield EntryId(entry_id)
 
     def accepted(self, peer: PeerConnection) -> None:
-        """Take in a connection that another entry opened."""
+        """Register a connection that another entry opened."""
         self.accepted_by_id_[EntryId(peer.info.peer_id)] = peer
 
     def lost(self, peer: PeerConnection) -> None:
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_hosts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_hosts.py
@@ -47,4 +47,4 @@
             listed = msgspec.json.decode(body, type=dict[str, HostState])
         except msgspec.MsgspecError:
             return
-        self.hosts.note_list({HostId(host): state for host, state in listed.items()})
+        self.hosts.record_list({HostId(host): state for host, state in listed.items()})
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_http.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_http.py
@@ -122,7 +122,7 @@
         while buffer.final_ is None:
             if not await self.reader_.wait():
                 return
-            buffer.note_consumed(len(buffer.texts))
+            buffer.record_consumed(len(buffer.texts))
         final = buffer.final_
         if final.problem is not None:
             self.refuse(final.problem, final.outcome, run.request_id)
@@ -182,7 +182,7 @@
                     await handler.flush()
                 except StreamClosedError:
                     return
-                buffer.note_consumed(self.sent)
+                buffer.record_consumed(self.sent)
         self._end()
 
     def _start(self) -> None:
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_live_attempts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_live_attempts.py
@@ -43,7 +43,7 @@
     def settle_link(self, attempt: Attempt) -> EndpointLink:
         """Count an attempt as ended at its endpoint, and return the link to it."""
         link = self.links_by_number_[attempt.number]
-        link.view.note_ended(self.execution.stage.expected_tokens)
+        link.view.record_ended(self.execution.stage.expected_tokens)
         return link
 
     def cancel_all(self) -> None:
@@ -61,20 +61,20 @@
     def lose_race(self, attempt: Attempt) -> None:
         """Cancel an attempt that another one has overtaken."""
         now = self.services.clock()
-        self.note_unfinished(attempt, now)
+        self.record_unfinished(attempt, now)
         self.services.directory.report_ejections(self.execution.stage.pool)
         self.cancel(attempt)
 
-    def note_unfinished(self, attempt: Attempt, now: float) -> None:
+    def record_unfinished(self, attempt: Attempt, now: float) -> None:
         """Tell the ejector how slow an attempt that is given up was at least."""
         pool = self.services.directory.pool(self.execution.stage.pool)
         if pool is None:
             return
         slowness = self._slowness_at_least(attempt, now)
         if slowness is None:
-            pool.ejector.note_abandoned(attempt.endpoint_id)
+            pool.ejector.record_abandoned(attempt.endpoint_id)
             return
-        pool.ejector.note_late(attempt.endpoint_id, slowness, now)
+        pool.ejector.record_late(attempt.endpoint_id, slowness, now)
 
     def _slowness_at_least(self, attempt: Attempt, now: float) -> float | None:
         """Return the least time an attempt takes, against what is expected of it.
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_planner.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_planner.py
@@ -71,7 +71,7 @@
         self.task_: asyncio.Task[None] | None = None
 
     def apply_config(self, config: FleetConfig) -> None:
-        """Take in which models are wanted."""
+        """Record which models are wanted."""
         self.config_ = config
 
     def start(self) -> None:
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
@@ -204,15 +204,15 @@
         self.planner_.apply_config(config)
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Take in that a connection stands."""
+        """Record that a connection stands."""
         self.log_.report(Event.PEER_CONNECTED, peer=peer.info.peer_id)
         if peer.info.role == "entry":
             self.entries_.accepted(peer)
         self.follower_.peer_connected(peer)
-        self.directory_.note_reached(EndpointId(peer.info.peer_id))
+        self.directory_.record_reached(EndpointId(peer.info.peer_id))
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """Take in that a connection ended."""
+        """Drop a connection that ended."""
         self.log_.report(Event.PEER_LOST, peer=peer.info.peer_id)
         self.follower_.peer_lost(peer)
         self.entries_.lost(peer)
@@ -220,22 +220,22 @@
         self.table_.peer_lost(EndpointId(peer.info.peer_id))
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
-        """Take in the configuration version of a peer."""
+        """Record the configuration version of a peer."""
         self.follower_.peer_version(peer, version)
 
     def peer_message(self, peer: PeerConnection, message: Message) -> None:
-        """Take in a message."""
+        """Handle a message."""
         endpoint_id = EndpointId(peer.info.peer_id)
         if isinstance(message, Done | Refused) and message.load is not None:
-            self.directory_.note_load(endpoint_id, message.load)
+            self.directory_.record_load(endpoint_id, message.load)
         if self.table_.peer_message(message):
             return
         if isinstance(message, Load):
-            self.directory_.note_load(endpoint_id, message)
-            self.directory_.note_draining(endpoint_id, False)
+            self.directory_.record_load(endpoint_id, message)
+            self.directory_.record_draining(endpoint_id, False)
             return
         if isinstance(message, Draining):
-            self.directory_.note_draining(endpoint_id, True)
+            self.directory_.record_draining(endpoint_id, True)
             return
         if self.follower_.peer_message(peer, message):
             return
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
@@ -219,7 +219,7 @@
 
     def _start(self, run: RequestRun, work: object) -> None:
         self.runs_by_id_[run.request_id] = run
-        self.services.ledger_.note_began(run.execution.workspace)
+        self.services.ledger_.record_began(run.execution.workspace)
         LIVE_REQUESTS.set(len(self.runs_by_id_))
         task = asyncio.create_task(work)
         self.tasks_.add(task)
@@ -258,7 +258,7 @@
 
     def _end(self, run: RequestRun) -> None:
         self.runs_by_id_.pop(run.request_id, None)
-        self.services.ledger_.note_ended(run.execution.workspace)
+        self.services.ledger_.record_ended(run.execution.workspace)
         self.ended_by_id_[run.request_id] = run
         if len(self.ended_by_id_) > ENDED_KEPT:
             self.ended_by_id_.popitem(last=False)
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_run.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_run.py
@@ -87,7 +87,7 @@
         return final is not None and final.outcome is Outcome.NOT_RUN
 
     def deliver(self, message: Delivery) -> None:
-        """Take in a message for this request."""
+        """Handle a message for this request."""
         self.attempts_.deliver(message)
 
     def cancel(self) -> None:
@@ -122,7 +122,7 @@
         refusal = await self._claim_if_needed()
         if refusal is not None:
             return refusal
-        self.services.budget_.note_fresh()
+        self.services.budget_.record_fresh()
         while True:
             failure = await self.attempts_.run_one()
             if failure is None:
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_sending.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_sending.py
@@ -90,7 +90,7 @@
             execution.end_attempt(attempt)
             return False
         self.live.links_by_number_[attempt.number] = link
-        execution.note_may_have_left()
+        execution.record_may_have_left()
         streams = bool(stage.expected_tokens) and execution.is_final_stage
         if execution.is_final_stage:
             self.tokens.answer_.locator_ = f"{endpoint_id}/{attempt.number}"
@@ -120,9 +120,9 @@
         if not sent:
             execution.end_attempt(attempt)
             return False
-        link.view.note_sent(stage.expected_tokens)
-        link.view.prefixes_.note_cached(self.live.body.prefix, now)
-        self.live.services.directory.pool(stage.pool).ejector.note_sent(endpoint_id)
+        link.view.record_sent(stage.expected_tokens)
+        link.view.prefixes_.record_cached(self.live.body.prefix, now)
+        self.live.services.directory.pool(stage.pool).ejector.record_sent(endpoint_id)
         return True
 
     def _note(self, attempt: Attempt, streams: bool) -> Note:
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_settling.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_settling.py
@@ -37,18 +37,18 @@
         """Return what a delivery means for its attempt; None where it ended none."""
         match message:
             case Done():
-                return self._take_done(message)
+                return self._on_done(message)
             case Refused():
-                return self._take_refused(message, effect_before)
+                return self._on_refused(message, effect_before)
             case AnswerDiverged():
-                return self._take_diverged(message)
+                return self._on_diverged(message)
             case PeerLost():
-                return self._take_lost(message)
+                return self._on_lost(message)
             case NotHeld():
-                return self._take_not_held(message)
+                return self._on_not_held(message)
         return None
 
-    def _take_diverged(self, diverged: AnswerDiverged) -> Settled | None:
+    def _on_diverged(self, diverged: AnswerDiverged) -> Settled | None:
         """Give up an answer whose second half would not fit its first."""
         matched = self.live.execution.match(diverged.stage, diverged.attempt)
         attempt = matched.value_or(None)
@@ -63,7 +63,7 @@
         )
         return Settled(failure)
 
-    def _take_done(self, done: Done) -> Settled | None:
+    def _on_done(self, done: Done) -> Settled | None:
         accepted = self.live.execution.accept_done(done)
         attempt = accepted.value_or(None)
         if attempt is None:
@@ -74,7 +74,7 @@
         pool = self.live.services.directory.pool(self.live.execution.stage.pool)
         if done.status is not DoneStatus.OK:
             if pool is not None:
-                pool.ejector.note_failure(
+                pool.ejector.record_failure(
                     attempt.endpoint_id, done.error[:ERROR_KEPT], now
                 )
                 self.live.services.directory.report_ejections(
@@ -95,12 +95,12 @@
             # against what is expected, stages of all lengths compare.
             elapsed_ms = (now - attempt.sent_at) * 1000.0 - done.queue_ms
             slowness = elapsed_ms / self.live.execution.stage.expected_ms
-            pool.ejector.note_success(attempt.endpoint_id, slowness, now)
+            pool.ejector.record_success(attempt.endpoint_id, slowness, now)
             self.live.services.directory.report_ejections(
                 self.live.execution.stage.pool
             )
         if self.live.body.prefix and done.prefill_tokens and not done.cached_tokens:
-            link.view.prefixes_.note_cached(self.live.body.prefix, now)
+            link.view.prefixes_.record_cached(self.live.body.prefix, now)
         if self.live.execution.stage.hedge:
             begun_at = self.tokens.first_token_at_ or now
             elapsed_ms = (begun_at - attempt.sent_at) * 1000.0
@@ -113,7 +113,7 @@
         self.live.execution.advance(done.result)
         return Settled()
 
-    def _take_refused(self, refused: Refused, effect_before: bool) -> Settled | None:
+    def _on_refused(self, refused: Refused, effect_before: bool) -> Settled | None:
         matched = self.live.execution.match(refused.stage, refused.attempt)
         attempt = matched.value_or(None)
         if attempt is None:
@@ -122,12 +122,12 @@
         self.live.settle_link(attempt)
         pool = self.live.services.directory.pool(self.live.execution.stage.pool)
         if pool is not None:
-            pool.ejector.note_abandoned(attempt.endpoint_id)
+            pool.ejector.record_abandoned(attempt.endpoint_id)
         if refused.begun:
             self.live.execution.end_attempt(attempt)
             kind = FailureKind.LOST
         else:
-            self.live.execution.note_proved_not_begun(attempt, effect_before)
+            self.live.execution.record_proved_not_begun(attempt, effect_before)
             kind = FailureKind.REFUSED
         reason = reason_of(refused.reason)
         self.live.trail.add(
@@ -140,7 +140,7 @@
         )
         return Settled(failure)
 
-    def _take_lost(self, lost: PeerLost) -> Settled | None:
+    def _on_lost(self, lost: PeerLost) -> Settled | None:
         failure: AttemptFailure | None = None
         for attempt in list(self.live.execution.live_by_number_.values()):
             if attempt.endpoint_id != lost.endpoint_id:
@@ -149,13 +149,13 @@
             self.live.execution.end_attempt(attempt)
             pool = self.live.services.directory.pool(self.live.execution.stage.pool)
             if pool is not None:
-                pool.ejector.note_abandoned(attempt.endpoint_id)
+                pool.ejector.record_abandoned(attempt.endpoint_id)
             failure = make_failure(
                 FailureKind.LOST, RefusalReason.ENDPOINT_LOST, attempt.endpoint_id
             )
         return Settled(failure) if failure is not None else None
 
-    def _take_not_held(self, message: NotHeld) -> Settled | None:
+    def _on_not_held(self, message: NotHeld) -> Settled | None:
         matched = self.live.execution.match(message.stage, message.attempt)
         attempt = matched.value_or(None)
         if attempt is None:
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_tokens.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_tokens.py
@@ -52,7 +52,7 @@
                 self._end_race(part)
             TOKENS_TOTAL.inc(added)
             if added:
-                self.answer_.note_grown()
+                self.answer_.wake_readers()
             else:
                 self._grant_replayed(part)
 
--- a/packages/leadford-server/src/leadford_server/pipelines/store/_client.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/store/_client.py
@@ -118,15 +118,15 @@
     ) -> Result[HTTPResponse, StoreError]:
         response = await fetch(self.http, request)
         if response.code in (200, 204):
-            self._note_available(True)
+            self._record_available(True)
             STORE_CALLS_TOTAL.labels(kind=kind, end="ok").inc()
             return Success(response)
-        self._note_available(response.code in _KIND_BY_STATUS)
+        self._record_available(response.code in _KIND_BY_STATUS)
         fault = _KIND_BY_STATUS.get(response.code, StoreErrorKind.UNAVAILABLE)
         STORE_CALLS_TOTAL.labels(kind=kind, end=fault.value).inc()
         return Failure(StoreError(fault, str(response.error or response.code)))
 
-    def _note_available(self, available: bool) -> None:
+    def _record_available(self, available: bool) -> None:
         """Report when the store falls silent and when it answers again."""
         if available == self.available_:
             return
--- a/packages/leadford/src/leadford/common/_estimates.py
+++ b/packages/leadford/src/leadford/common/_estimates.py
@@ -14,7 +14,7 @@
         self.count_ = 0
 
     def update(self, observation: float) -> None:
-        """Take in one observation."""
+        """Record one observation."""
         self.count_ += 1
         # The first observations count as a plain mean, so that a wrong initial
         # value is forgotten quickly.
--- a/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
@@ -29,7 +29,7 @@
         self.per_token_ = Ewma(initial=DEFAULT_TOKEN_MS, weight=ESTIMATE_WEIGHT)
 
     def note(self, stage: str, service_ms: float, tokens: int) -> None:
-        """Take in one finished attempt."""
+        """Record one finished attempt."""
         if tokens:
             self.per_token_.update(service_ms / tokens)
         self.overall_.update(service_ms)
@@ -39,8 +39,8 @@
             self.by_stage_[stage] = estimate
         estimate.update(service_ms)
 
-    def note_partial(self, elapsed_ms: float, tokens: int) -> None:
-        """Take in an attempt that was cancelled, as far as it came."""
+    def record_partial(self, elapsed_ms: float, tokens: int) -> None:
+        """Record an attempt that was cancelled, as far as it came."""
         # That it took at least so long is worth more than no observation.
         at_least_ms = elapsed_ms / (tokens + 1)
         if at_least_ms > self.per_token_.value_:
--- a/packages/leadford/src/leadford/pipelines/admission/_entitlement.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_entitlement.py
@@ -24,7 +24,7 @@
         self.live_ = 0
         self.active_shares_ = 0.0
 
-    def note_began(self, workspace: WorkspaceId) -> None:
+    def record_began(self, workspace: WorkspaceId) -> None:
         """Count a request that begins."""
         self.live_ += 1
         live = self.live_by_workspace_.get(workspace, 0)
@@ -34,7 +34,7 @@
             self.share_by_workspace_[workspace] = share
             self.active_shares_ += share
 
-    def note_ended(self, workspace: WorkspaceId) -> None:
+    def record_ended(self, workspace: WorkspaceId) -> None:
         """Count a request that ended."""
         self.live_ -= 1
         self.live_by_workspace_[workspace] -= 1
--- a/packages/leadford/src/leadford/pipelines/admission/_headroom.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_headroom.py
@@ -36,18 +36,18 @@
             average += weight * (present - average)
             self.average_by_priority_[priority] = average
 
-    def note_arrived(self, priority: int, now: float) -> None:
+    def record_arrived(self, priority: int, now: float) -> None:
         """Count an attempt that queues."""
         self._advance(now)
         present = self.present_by_priority_.get(priority, 0)
         self.present_by_priority_[priority] = present + 1
 
-    def note_started(self, priority: int) -> None:
+    def record_started(self, priority: int) -> None:
         """Count an attempt that takes a slot."""
         running = self.running_by_priority_.get(priority, 0)
         self.running_by_priority_[priority] = running + 1
 
-    def note_left(self, priority: int, now: float, *, ran: bool) -> None:
+    def record_left(self, priority: int, now: float, *, ran: bool) -> None:
         """Count an attempt that ended or left the queue."""
         self._advance(now)
         self.present_by_priority_[priority] -= 1
--- a/packages/leadford/src/leadford/pipelines/admission/tests/test_admission.py
+++ b/packages/leadford/src/leadford/pipelines/admission/tests/test_admission.py
@@ -97,7 +97,7 @@
 
 def make_view(**report):
     view = EndpointView(endpoint_id="e", hall="h")
-    view.note_report(LoadReport(**report))
+    view.record_report(LoadReport(**report))
     return view
 
 
@@ -129,11 +129,11 @@
     now = 0.0
     for _ in range(200):
         for _ in range(2):
-            headroom.note_arrived(1, now)
-            headroom.note_started(1)
+            headroom.record_arrived(1, now)
+            headroom.record_started(1)
         now += 0.1
         for _ in range(2):
-            headroom.note_left(1, now, ran=True)
+            headroom.record_left(1, now, ran=True)
     assert headroom.reserved(5, now) == 2
     assert not headroom.admits(5, running=6, concurrency=8, now=now)
     assert headroom.admits(1, running=7, concurrency=8, now=now)
@@ -164,16 +164,16 @@
     terms = {"small": WorkspaceTerms(1.0, 0.0), "kept": WorkspaceTerms(1.0, 0.6)}
     ledger = EntitlementLedger(terms=lambda w: terms.get(w, WorkspaceTerms()))
     for _ in range(30):
-        ledger.note_began("greedy")
+        ledger.record_began("greedy")
     assert not ledger.is_entitled("greedy")
     assert ledger.is_entitled("small")
     for _ in range(31):
-        ledger.note_began("small")
+        ledger.record_began("small")
     assert not ledger.is_entitled("small")
     assert ledger.is_entitled("greedy")
     for _ in range(31):
-        ledger.note_ended("small")
+        ledger.record_ended("small")
     for _ in range(40):
-        ledger.note_began("kept")
+        ledger.record_began("kept")
     assert ledger.is_entitled("kept")
     assert len(ledger.live_by_workspace_) == 2
--- a/packages/leadford/src/leadford/pipelines/claims/_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_log.py
@@ -111,15 +111,15 @@
             return self.tail_position_
         return None
 
-    def note_read(self, position: int, view: SlotView, now_s: float) -> None:
-        """Take in the slot that was read for a wanted position."""
+    def record_read(self, position: int, view: SlotView, now_s: float) -> None:
+        """Record the slot that was read for a wanted position."""
         if not self._found:
             self._search(position, view)
             return
         if self._backfill is not None:
-            self._note_backfill(view, now_s)
+            self._record_backfill(view, now_s)
             return
-        self._note_tail(view)
+        self._record_tail(view)
 
     def _search(self, position: int, view: SlotView) -> None:
         # The slots of the newest lap form a prefix of the ring, so its end is found
@@ -142,7 +142,7 @@
             if self.tail_position_ > 0:
                 self._backfill = self.tail_position_ - 1
 
-    def _note_backfill(self, view: SlotView, now_s: float) -> None:
+    def _record_backfill(self, view: SlotView, now_s: float) -> None:
         position = self._backfill
         slot = view.slot
         expired = slot is None or slot.position > position
@@ -153,7 +153,7 @@
         at_end = position == 0 or self.tail_position_ - position >= self.ring - 1
         self._backfill = None if expired or at_end else position - 1
 
-    def _note_tail(self, view: SlotView) -> None:
+    def _record_tail(self, view: SlotView) -> None:
         slot = view.slot
         is_current = slot is not None and slot.position >= self.tail_position_
         if not is_current:
@@ -213,13 +213,13 @@
         name = self.slot_name(self.tail_position_)
         return Success(ClaimWrite(name, view.version, data, batch, slot))
 
-    def note_written(self, write: ClaimWrite, version: int) -> None:
-        """Take in that a write took effect with a new version."""
+    def record_written(self, write: ClaimWrite, version: int) -> None:
+        """Record that a write took effect with a new version."""
         self.tail_ = None
-        self._note_tail(SlotView(version, write.slot))
+        self._record_tail(SlotView(version, write.slot))
 
-    def note_in_doubt(self) -> None:
-        """Take in a conflict or a lost answer: the tail must be read again."""
+    def record_in_doubt(self) -> None:
+        """Record a conflict or a lost answer: the tail must be read again."""
         self.tail_ = None
 
     def has_batch(self, batch_id: str) -> bool:
--- a/packages/leadford/src/leadford/pipelines/claims/_pace.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_pace.py
@@ -27,7 +27,7 @@
         """Take the right to one write."""
         return self.bucket_.try_take(now)
 
-    def note_answer(self, elapsed_s: float, ok: bool) -> None:
+    def record_answer(self, elapsed_s: float, ok: bool) -> None:
         """Adapt to how the store answered."""
         if not ok or elapsed_s > SLOW_ANSWER_S:
             self.factor_ = max(PACE_FLOOR, self.factor_ * BACKOFF)
--- a/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
@@ -51,7 +51,7 @@
         reads = 0
         while (position := self.log.wanted_position()) is not None:
             view = self.store.read(self.log.slot_name(position))
-            self.log.note_read(position, view, now_s)
+            self.log.record_read(position, view, now_s)
             reads += 1
         return reads
 
@@ -70,10 +70,10 @@
                 return False
             version = self.store.write(built.unwrap())
             if version is None or lost:
-                self.log.note_in_doubt()
+                self.log.record_in_doubt()
                 lost = False
                 continue
-            self.log.note_written(built.unwrap(), version)
+            self.log.record_written(built.unwrap(), version)
             return True
         raise AssertionError("the log never settled")
 
--- a/packages/leadford/src/leadford/pipelines/ejection/_outliers.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/_outliers.py
@@ -105,22 +105,22 @@
             record.probes_passed_ = 0
         return not record.probe_out_
 
-    def note_sent(self, endpoint_id: EndpointId) -> None:
+    def record_sent(self, endpoint_id: EndpointId) -> None:
         """Count an attempt; while probing only one is out at a time."""
         record = self.records_by_id_.get(endpoint_id)
         if record is not None and record.state_ is EndpointState.PROBING:
             record.probe_out_ = True
 
-    def note_abandoned(self, endpoint_id: EndpointId) -> None:
+    def record_abandoned(self, endpoint_id: EndpointId) -> None:
         """Take back an attempt that ended without saying anything of the endpoint."""
         record = self.records_by_id_.get(endpoint_id)
         if record is not None:
             record.probe_out_ = False
 
-    def note_success(
+    def record_success(
         self, endpoint_id: EndpointId, slowness: float, now: float
     ) -> None:
-        """Take in a success and its time against what was expected of it."""
+        """Record a success and its time against what was expected of it."""
         record = self.records_by_id_.get(endpoint_id)
         if record is None:
             return
@@ -135,8 +135,8 @@
             return
         self._judge_slowness(endpoint_id, record, now)
 
-    def note_late(self, endpoint_id: EndpointId, at_least: float, now: float) -> None:
-        """Take in an attempt given up for time; it was at least so slow.
+    def record_late(self, endpoint_id: EndpointId, at_least: float, now: float) -> None:
+        """Record an attempt given up for time; it was at least so slow.
 
         Beside endpoints that are as slow it says nothing, as in an overload.
         """
@@ -162,8 +162,8 @@
         if enough and record.slowness_.value_ > limit:
             self._eject(endpoint_id, record, "slower than others", now)
 
-    def note_failure(self, endpoint_id: EndpointId, reason: str, now: float) -> None:
-        """Take in a failure."""
+    def record_failure(self, endpoint_id: EndpointId, reason: str, now: float) -> None:
+        """Record a failure."""
         record = self.records_by_id_.get(endpoint_id)
         if record is None:
             return
--- a/packages/leadford/src/leadford/pipelines/ejection/tests/test_outliers.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/tests/test_outliers.py
@@ -17,7 +17,7 @@
 
 def fail(ejector, endpoint_id, times=5, now=0.0):
     for _ in range(times):
-        ejector.note_failure(endpoint_id, "status 500", now)
+        ejector.record_failure(endpoint_id, "status 500", now)
 
 
 def test_failures_in_a_row_eject():
@@ -33,14 +33,14 @@
     ejector = make_ejector()
     for _ in range(12):
         for endpoint_id in IDS:
-            ejector.note_success(
+            ejector.record_success(
                 endpoint_id, 100.0 if endpoint_id == "e3" else 10.0, 0.0
             )
     assert not ejector.admits("e3", 0.1)
     slow_together = make_ejector()
     for _ in range(30):
         for endpoint_id in IDS:
-            slow_together.note_success(endpoint_id, 100.0, 0.0)
+            slow_together.record_success(endpoint_id, 100.0, 0.0)
     assert all(slow_together.admits(endpoint_id, 0.1) for endpoint_id in IDS)
 
 
@@ -61,9 +61,9 @@
     now = 10.0
     for _ in range(3):
         assert ejector.admits("e0", now)
-        ejector.note_sent("e0")
+        ejector.record_sent("e0")
         assert not ejector.admits("e0", now)
-        ejector.note_success("e0", 10.0, now)
+        ejector.record_success("e0", 10.0, now)
     assert ejector.state("e0") is EndpointState.ACTIVE
 
 
@@ -77,8 +77,8 @@
         while not ejector.admits("e0", now):
             now += 0.1
         waits.append(now - start)
-        ejector.note_sent("e0")
-        ejector.note_failure("e0", "status 500", now)
+        ejector.record_sent("e0")
+        ejector.record_failure("e0", "status 500", now)
     assert waits == sorted(waits)
     assert waits[-1] > 3 * waits[0]
 
@@ -87,8 +87,8 @@
     ejector = make_ejector()
     fail(ejector, "e0")
     assert ejector.admits("e0", 10.0)
-    ejector.note_sent("e0")
-    ejector.note_abandoned("e0")
+    ejector.record_sent("e0")
+    ejector.record_abandoned("e0")
     assert ejector.admits("e0", 10.0)
 
 
@@ -104,11 +104,11 @@
     for endpoint_id, ok, pause_s in outcomes:
         now += pause_s
         if ejector.admits(endpoint_id, now):
-            ejector.note_sent(endpoint_id)
+            ejector.record_sent(endpoint_id)
         if ok:
-            ejector.note_success(endpoint_id, 10.0, now)
+            ejector.record_success(endpoint_id, 10.0, now)
         else:
-            ejector.note_failure(endpoint_id, "x", now)
+            ejector.record_failure(endpoint_id, "x", now)
         out = sum(ejector.state(i) is not EndpointState.ACTIVE for i in IDS)
         assert out <= max(1, int(cap * len(IDS)))
 
@@ -117,11 +117,11 @@
     ejector = make_ejector()
     for _ in range(6):
         for endpoint_id in IDS[1:]:
-            ejector.note_success(endpoint_id, 30.0, 0.0)
-        ejector.note_late("e0", 250.0, 0.0)
+            ejector.record_success(endpoint_id, 30.0, 0.0)
+        ejector.record_late("e0", 250.0, 0.0)
     assert not ejector.admits("e0", 0.1)
     overloaded = make_ejector()
     for _ in range(6):
         for endpoint_id in IDS:
-            overloaded.note_late(endpoint_id, 250.0, 0.0)
+            overloaded.record_late(endpoint_id, 250.0, 0.0)
     assert all(overloaded.admits(endpoint_id, 0.1) for endpoint_id in IDS)
--- a/packages/leadford/src/leadford/pipelines/execution/_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/_request.py
@@ -125,15 +125,15 @@
         self.attempts_made_ = number
         attempt = Attempt(StageId(stage), AttemptNumber(number), endpoint_id, 0.0)
         self.live_by_number_[attempt.number] = attempt
-        self.note_may_have_left()
+        self.record_may_have_left()
         return attempt
 
-    def note_may_have_left(self) -> None:
-        """Take in that a byte of the stage that runs now may have left."""
+    def record_may_have_left(self) -> None:
+        """Record that a byte of the stage that runs now may have left."""
         if self.stage.effect or not self.stage.repeatable:
             self.effect_may_have_left_ = True
 
-    def note_proved_not_begun(self, attempt: Attempt, before: bool) -> None:
+    def record_proved_not_begun(self, attempt: Attempt, before: bool) -> None:
         """Take back a `may have left` mark that a refusal disproved."""
         self.end_attempt(attempt)
         self.effect_may_have_left_ = before
--- a/packages/leadford/src/leadford/pipelines/membership/_halls.py
+++ b/packages/leadford/src/leadford/pipelines/membership/_halls.py
@@ -32,13 +32,13 @@
         self.lost_until_: dict[HallId, float] = {}
 
     def set_members(self, halls_by_endpoint: dict[EndpointId, HallId]) -> None:
-        """Take in the endpoints that this process talks to."""
+        """Record the endpoints that this process talks to."""
         self.halls_by_endpoint_ = halls_by_endpoint
         self.size_by_hall_ = {}
         for hall in halls_by_endpoint.values():
             self.size_by_hall_[hall] = self.size_by_hall_.get(hall, 0) + 1
 
-    def note_unreachable(self, endpoint_id: EndpointId, now: float) -> HallId | None:
+    def record_unreachable(self, endpoint_id: EndpointId, now: float) -> HallId | None:
         """Count a lost connection; return the hall when this makes it lost."""
         hall = self.halls_by_endpoint_.get(endpoint_id)
         if hall is None:
@@ -57,7 +57,7 @@
         self.lost_until_[hall] = now + SUSPICION_S
         return hall
 
-    def note_reached(self, endpoint_id: EndpointId) -> None:
+    def record_reached(self, endpoint_id: EndpointId) -> None:
         """Count a connection that stands again."""
         hall = self.halls_by_endpoint_.get(endpoint_id)
         if hall is None:
--- a/packages/leadford/src/leadford/pipelines/membership/_hosts.py
+++ b/packages/leadford/src/leadford/pipelines/membership/_hosts.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.listed_by_host_: dict[HostId, HostState] = {}
 
-    def note_list(self, states_by_host: dict[HostId, HostState]) -> None:
+    def record_list(self, states_by_host: dict[HostId, HostState]) -> None:
         """Replace the list by a newer one."""
         self.listed_by_host_ = states_by_host
 
--- a/packages/leadford/src/leadford/pipelines/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/pipelines/membership/tests/test_membership.py
@@ -61,11 +61,13 @@
 
 def test_a_host_is_leaving_as_long_as_the_newest_list_says_so():
     hosts = HostTable()
-    hosts.note_list({"a": HostState.LIVE, "b": HostState.LEAVING, "c": HostState.GONE})
+    hosts.record_list(
+        {"a": HostState.LIVE, "b": HostState.LEAVING, "c": HostState.GONE}
+    )
     assert not hosts.is_leaving("a")
     assert hosts.is_leaving("b")
     assert hosts.is_leaving("c")
-    hosts.note_list({"b": HostState.LIVE})
+    hosts.record_list({"b": HostState.LIVE})
     assert not hosts.is_leaving("a")
     assert not hosts.is_leaving("b")
     assert not hosts.is_leaving("c")
@@ -80,11 +82,11 @@
 def test_a_lost_hall_is_one_event():
     monitor = make_monitor()
     members = [e for e, h in monitor.halls_by_endpoint_.items() if h == "h1"]
-    events = [monitor.note_unreachable(e, 0.1 * i) for i, e in enumerate(members)]
+    events = [monitor.record_unreachable(e, 0.1 * i) for i, e in enumerate(members)]
     assert [event for event in events if event] == ["h1"]
     assert monitor.is_lost("h1", 1.0)
     assert not monitor.is_lost("h1", 10.0)
-    monitor.note_reached(members[0])
+    monitor.record_reached(members[0])
     assert not monitor.is_lost("h1", 1.0)
 
 
@@ -94,7 +96,7 @@
     by_hall = Counter()
     lost = []
     for endpoint in sorted(order, key=lambda e: (by_hall[e], e)):
-        lost.append(monitor.note_unreachable(endpoint, 0.0))
+        lost.append(monitor.record_unreachable(endpoint, 0.0))
     assert sum(monitor.is_lost(f"h{n}", 0.1) for n in range(4)) < 4
 
 
@@ -102,4 +104,4 @@
     monitor = make_monitor()
     members = [e for e, h in monitor.halls_by_endpoint_.items() if h == "h1"]
     for index, endpoint in enumerate(members):
-        assert monitor.note_unreachable(endpoint, index * 10.0) is None
+        assert monitor.record_unreachable(endpoint, index * 10.0) is None
--- a/packages/leadford/src/leadford/pipelines/placement/_orders.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_orders.py
@@ -59,7 +59,7 @@
             return OrderStep(kind, copy, self.fence_)
         return None
 
-    def note_lost(self, step: OrderStep, now: float) -> None:
-        """Take in that an order was not answered."""
+    def record_lost(self, step: OrderStep, now: float) -> None:
+        """Record that an order was not answered."""
         if not self.checks_fences:
             self.doubtful_until_[step.copy.model] = now + self.doubt_s
--- a/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
+++ b/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
@@ -153,7 +153,7 @@
 ):
     desk = OrderDesk(checks_fences=checks, doubt_s=5.0)
     desk.offer(1, frozenset({COPY}))
-    desk.note_lost(desk.next_step(frozenset(), 0.0), 0.0)
+    desk.record_lost(desk.next_step(frozenset(), 0.0), 0.0)
     desk.offer(2, frozenset())
     contrary = desk.next_step(frozenset({COPY}), 1.0)
     assert (contrary is None) is held_back
--- a/packages/leadford/src/leadford/pipelines/results/_kept.py
+++ b/packages/leadford/src/leadford/pipelines/results/_kept.py
@@ -105,7 +105,7 @@
         return self.results_by_key_.get(key)
 
     def end(self, kept: KeptResult, done: Done, now: float) -> None:
-        """Take in the end of an attempt."""
+        """Record the end of an attempt."""
         if kept.done_ is not None:
             raise AssertionError(f"attempt {kept.key} ended twice")
         kept.done_ = done
--- a/packages/leadford/src/leadford/pipelines/retries/_budget.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_budget.py
@@ -19,7 +19,7 @@
         self.burst = burst
         self.tokens_ = burst
 
-    def note_fresh(self) -> None:
+    def record_fresh(self) -> None:
         """Count one fresh attempt."""
         check_fraction("ratio", self.ratio)
         self.tokens_ = min(self.burst, self.tokens_ + self.ratio)
--- a/packages/leadford/src/leadford/pipelines/retries/_hedge.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_hedge.py
@@ -25,7 +25,7 @@
         self.next_ = 0
 
     def note(self, elapsed_ms: float) -> None:
-        """Take in how long a winning attempt took."""
+        """Record how long a winning attempt took."""
         if len(self.arrivals_) < SAMPLES_KEPT:
             self.arrivals_.append(elapsed_ms)
         else:
--- a/packages/leadford/src/leadford/pipelines/retries/tests/test_retries.py
+++ b/packages/leadford/src/leadford/pipelines/retries/tests/test_retries.py
@@ -72,7 +72,7 @@
     budget = RetryBudget(ratio=ratio, burst=burst)
     spent = 0
     for _ in range(fresh):
-        budget.note_fresh()
+        budget.record_fresh()
         spent += budget.try_spend()
         spent += budget.try_spend()
     assert spent <= fresh * ratio + burst + 1e-6
--- a/packages/leadford/src/leadford/pipelines/routing/_base.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_base.py
@@ -110,14 +110,14 @@
         beyond = max(0.0, ahead - max(concurrency, self.reported_))
         return (ahead_ms + beyond * service_ms) / concurrency
 
-    def note_sent(self, expected_tokens: int) -> None:
+    def record_sent(self, expected_tokens: int) -> None:
         """Count an attempt that was sent."""
         self.unreported_ += 1
         self.outstanding_ += 1
         self.outstanding_tokens_ += expected_tokens
         self._sum_load()
 
-    def note_ended(self, expected_tokens: int) -> None:
+    def record_ended(self, expected_tokens: int) -> None:
         """Count an attempt that ended."""
         self.unreported_ = max(0, self.unreported_ - 1)
         self.outstanding_ = max(0, self.outstanding_ - 1)
@@ -125,7 +125,7 @@
         self.outstanding_tokens_ = max(0, remaining)
         self._sum_load()
 
-    def note_report(self, report: LoadReport) -> None:
+    def record_report(self, report: LoadReport) -> None:
         """Record a newer load report, summed for the decisions that follow."""
         self.report_ = report
         self.reported_ = report.queued + report.running
--- a/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
@@ -23,7 +23,7 @@
         self.lifetime_s = lifetime_s
         self.seen_at_by_prefix_: OrderedDict[str, float] = OrderedDict()
 
-    def note_cached(self, prefix: str, now: float) -> None:
+    def record_cached(self, prefix: str, now: float) -> None:
         """Record that a prefix was sent to or reported by the endpoint."""
         if not prefix:
             return
--- a/packages/leadford/src/leadford/pipelines/routing/tests/test_policies.py
+++ b/packages/leadford/src/leadford/pipelines/routing/tests/test_policies.py
@@ -18,7 +18,7 @@
 
 def make_view(name, queued=0, running=0, at_s=0.0, **terms):
     view = EndpointView(endpoint_id=name, hall="h", concurrency=4, **terms)
-    view.note_report(
+    view.record_report(
         LoadReport(
             at_s=at_s, queued=queued, running=running, service_ms=10.0, concurrency=4
         )
@@ -60,7 +60,7 @@
 def test_own_unacknowledged_sends_count(name):
     views = [make_view("a"), make_view("b")]
     for _ in range(12):
-        views[0].note_sent(0)
+        views[0].record_sent(0)
     assert make_policy(name).choose(RoutingRequest(), views, 0.0).endpoint_id == "b"
 
 
@@ -74,17 +74,17 @@
     policy = make_policy("expected_finish")
     request = RoutingRequest(expected_tokens=10, prefix="p", prefill_tokens=400)
     warm, cold = make_view("warm"), make_view("cold")
-    warm.prefixes_.note_cached("p", 0.0)
+    warm.prefixes_.record_cached("p", 0.0)
     assert policy.choose(request, [warm, cold], 1.0) is warm
-    warm.note_report(LoadReport(at_s=1.0, queued=60, running=4, service_ms=100.0))
+    warm.record_report(LoadReport(at_s=1.0, queued=60, running=4, service_ms=100.0))
     assert policy.choose(request, [warm, cold], 1.0) is cold
 
 
 def test_a_prefix_holder_counts_among_many_candidates():
     policy = make_policy("expected_finish")
     views = [make_view(f"e{n}", running=n % 3) for n in range(40)]
-    views[17].note_report(LoadReport(running=3, service_ms=10.0, concurrency=4))
-    views[17].prefixes_.note_cached("p", 0.0)
+    views[17].record_report(LoadReport(running=3, service_ms=10.0, concurrency=4))
+    views[17].prefixes_.record_cached("p", 0.0)
     request = RoutingRequest(expected_tokens=10, prefix="p", prefill_tokens=4000)
     assert policy.choose(request, views, 1.0) is views[17]
 
@@ -119,7 +119,7 @@
 def test_prefix_hints_age_and_stay_bounded():
     index = PrefixIndex(capacity=2, lifetime_s=10.0)
     for number in range(3):
-        index.note_cached(f"p{number}", 0.0)
+        index.record_cached(f"p{number}", 0.0)
     assert not index.holds("p0", 1.0)
     assert index.holds("p2", 1.0)
     assert not index.holds("p2", 11.0)
