--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
@@ -1,4 +1,8 @@
-"""Keep the engine's models as the newest plan says."""
+"""Keep the engine's models as the newest plan says.
+
+Started by `AgentProcess` for an engine. `OrderDesk` (`leadford.pipelines.placement`)
+decides which order comes next; here it is sent, and the engine asked what it holds.
+"""
 
 import asyncio
 import json
@@ -14,6 +18,8 @@
 from leadford_server.logs import EventLog
 from leadford_server.web import NO_ANSWER, fetch
 
+# Seconds that an order and a reading may take, and between looks while an order is in
+# doubt; not measured.
 ORDER_TIMEOUT_S = 30.0
 READ_TIMEOUT_S = 2.0
 POLL_S = 0.5
@@ -81,7 +87,8 @@
         try:
             await asyncio.wait_for(self.wake_.wait(), POLL_S if doubtful else None)
         except TimeoutError:
-            pass
+            # No plan came: the caller looks again at what the engine holds.
+            return
 
     async def _read(self) -> None:
         request = HTTPRequest(f"{self.url}/orders", request_timeout=READ_TIMEOUT_S)
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
@@ -141,7 +141,7 @@
             log=self.log_,
             on_change=self.service_.report_models,
         )
-        self.service_.keeper_ = self.keeper_
+        self.service_.attach_models(self.keeper_)
         self.keeper_.start()
 
     def peer_connected(self, peer: PeerConnection) -> None:
--- /dev/null
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_runner.py
@@ -0,0 +1,214 @@
+"""Start the attempts that wait at an endpoint, and end them.
+
+Called by `AgentService` whenever an attempt was queued or a limit changed, and by
+itself when an attempt ends or a kept slot may be free again. What may start is decided
+by `leadford.pipelines` (queue, admission, headroom); tokens and ends go to the entries
+through the `TokenFeeder`.
+"""
+
+import asyncio
+from collections.abc import Callable
+
+import msgspec
+
+from leadford.common import RefusalReason
+from leadford.events import Event
+from leadford.protocol import Done, DoneStatus
+from leadford_server.logs import EventLog
+from leadford_server.metrics import (
+    ATTEMPTS_TOTAL,
+    QUEUED_ATTEMPTS,
+    RUNNING_ATTEMPTS,
+)
+from leadford_server.pipelines.agent._adapters import (
+    AdapterOutcome,
+    EndpointAdapter,
+    TokenSink,
+)
+from leadford_server.pipelines.agent._feeder import TokenFeeder
+from leadford_server.pipelines.agent._reports import EndpointReports
+from leadford_server.pipelines.agent._state import AcceptedAttempt, EndpointState
+
+# Seconds that an endpoint may take beyond the deadline of its attempt, in which the
+# answer of one that is just late still comes; commit 7457c0a, not measured.
+TIMEOUT_GRACE_S = 0.25
+# Seconds for which a stage with an effect is awaited at least; commit 7457c0a, not
+# measured.
+EFFECT_TIMEOUT_S = 30.0
+# Seconds after which a slot kept for more urgent work is looked at again; commit
+# bc56fb2, not measured.
+HEADROOM_POLL_S = 0.03
+
+
+class AttemptRunner:
+    """Run the attempts of one endpoint, as many at once as its slots allow."""
+
+    def __init__(
+        self,
+        *,
+        adapter: EndpointAdapter,
+        state: EndpointState,
+        reports: EndpointReports,
+        feeder: TokenFeeder,
+        log: EventLog,
+        clock: Callable[[], float],
+    ) -> None:
+        self.adapter = adapter
+        self.state = state
+        self.reports = reports
+        self.feeder = feeder
+        self.log = log
+        self.clock = clock
+        self.dispatch_timer_: asyncio.TimerHandle | None = None
+
+    def dispatch(self) -> None:
+        """Start what may start; refuse what waited too long."""
+        while self._may_start():
+            now = self.clock()
+            item = self.state.queue_.pop(now)
+            if item is None:
+                break
+            attempt = self.state.attempts_by_key_[item.key]
+            reason = self.state.admission_.check_start(
+                item,
+                tail_ms=attempt.submit.tail_ms,
+                running=self.state.running_,
+                now=now,
+            )
+            if reason is not None:
+                self._drop_queued(attempt, reason)
+                continue
+            self.state.headroom_.record_started(item.priority)
+            self.state.running_ += 1
+            self.state.tokens_in_flight_ += attempt.submit.expected_tokens
+            if not attempt.submit.repeatable:
+                self.state.record_effect(attempt.submit)
+            attempt.task_ = asyncio.create_task(self._run(attempt))
+        QUEUED_ATTEMPTS.set(len(self.state.queue_))
+        RUNNING_ATTEMPTS.set(self.state.running_)
+        self.reports.send_load()
+
+    def _may_start(self) -> bool:
+        """Tell whether the next attempt may take a slot; look again soon if not."""
+        if len(self.state.queue_) == 0:
+            return False
+        if self.state.running_ >= self.state.pool_.concurrency:
+            return False
+        if not self.state.config_.tuning.admission:
+            return True
+        admitted = self.state.headroom_.admits(
+            min(self.state.queue_.count_by_priority_),
+            running=self.state.running_,
+            concurrency=self.state.pool_.concurrency,
+            now=self.clock(),
+        )
+        if not admitted and self.dispatch_timer_ is None:
+            loop = asyncio.get_running_loop()
+            self.dispatch_timer_ = loop.call_later(
+                HEADROOM_POLL_S, self._dispatch_again
+            )
+        return admitted
+
+    def _dispatch_again(self) -> None:
+        self.dispatch_timer_ = None
+        self.dispatch()
+
+    def _drop_queued(self, attempt: AcceptedAttempt, reason: RefusalReason) -> None:
+        key = attempt.item.key
+        del self.state.attempts_by_key_[key]
+        self.state.headroom_.record_left(attempt.item.priority, self.clock(), ran=False)
+        for peer_id in list(attempt.kept.cursors_by_peer_):
+            peer = self.state.peers_by_id_.get(peer_id)
+            self.reports.refuse(peer, attempt.submit, reason)
+        self.state.results_.discard(key)
+
+    async def _run(self, attempt: AcceptedAttempt) -> None:
+        submit = attempt.submit
+        started_at = self.clock()
+        attempt.started_at_ = started_at
+        timeout_s = attempt.item.deadline_at - started_at + TIMEOUT_GRACE_S
+        if not submit.repeatable:
+            # The effect may come late; its result is worth waiting for.
+            timeout_s = max(timeout_s, EFFECT_TIMEOUT_S)
+        sink = self._sink(attempt)
+        outcome = await self.adapter.run(submit, timeout_s, sink)
+        ended_at = self.clock()
+        service_ms = (ended_at - started_at) * 1000.0
+        queue_ms = (started_at - attempt.item.enqueued_at) * 1000.0
+        if outcome.crossed:
+            self.log.report(
+                Event.ENDPOINT_ANSWER_CROSSED,
+                request=submit.request_id,
+                error=outcome.error,
+            )
+        tokens = len(attempt.generated_texts_)
+        if outcome.status is DoneStatus.OK:
+            self.state.admission_.estimate_.record(submit.stage, service_ms, tokens)
+        elif submit.expected_tokens:
+            self.state.admission_.estimate_.record_partial(service_ms, tokens)
+        self._finish(attempt, outcome, service_ms, queue_ms)
+
+    def _sink(self, attempt: AcceptedAttempt) -> TokenSink:
+        def take(texts: list[str], model_version: str) -> None:
+            attempt.generated_texts_.extend(texts)
+            if not attempt.submit.stream:
+                return
+            first = not attempt.kept.texts_
+            attempt.kept.append(texts, model_version)
+            self.feeder.on_tokens(attempt.kept, first=first)
+            self.reports.send_load()
+
+        return take
+
+    def _finish(
+        self,
+        attempt: AcceptedAttempt,
+        outcome: AdapterOutcome,
+        service_ms: float,
+        queue_ms: float,
+    ) -> None:
+        submit = attempt.submit
+        kept = attempt.kept
+        key = attempt.item.key
+        self.state.headroom_.record_left(attempt.item.priority, self.clock(), ran=True)
+        self.state.running_ -= 1
+        self.state.tokens_in_flight_ -= submit.expected_tokens
+        del self.state.attempts_by_key_[key]
+        result = outcome.result
+        if attempt.generated_texts_ and not submit.stream:
+            text = "".join(attempt.generated_texts_)
+            result = msgspec.json.encode({"text": text})
+        ATTEMPTS_TOTAL.labels(stage=submit.stage, end=outcome.status.name.lower()).inc()
+        done = Done(
+            request_id=submit.request_id,
+            stage=submit.stage,
+            attempt=submit.attempt,
+            status=outcome.status,
+            sequence=len(kept.texts_),
+            result=result,
+            service_ms=outcome.accelerator_ms or service_ms,
+            queue_ms=queue_ms,
+            prefill_tokens=outcome.prefill_tokens,
+            cached_tokens=outcome.cached_tokens,
+            error=outcome.error,
+            load=self.reports.load(),
+            model_version=outcome.model_version,
+        )
+        self.state.results_.end(kept, done, self.clock())
+        self.feeder.on_end(kept)
+        self.dispatch()
+
+    def cancel(self, key: str) -> None:
+        """Cancel an attempt that waits or runs; release one that ended."""
+        attempt = self.state.attempts_by_key_.get(key)
+        if attempt is None:
+            self.state.results_.release(key)
+            return
+        if self.state.queue_.remove(key) is not None:
+            self._drop_queued(attempt, RefusalReason.CANCELLED)
+            return
+        # What may not be repeated runs to its end, so that its result is known.
+        if attempt.cancelled_ or not attempt.submit.repeatable:
+            return
+        attempt.cancelled_ = True
+        asyncio.get_running_loop().create_task(self.adapter.cancel(attempt.submit))
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_settling.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_settling.py
@@ -104,7 +104,7 @@
         if self.live.execution.stage.hedge:
             begun_at = self.tokens.first_token_at_ or now
             elapsed_ms = (begun_at - attempt.sent_at) * 1000.0
-            self.live.services.hedge_policy(done.stage).note(elapsed_ms)
+            self.live.services.hedge_policy(done.stage).record(elapsed_ms)
         self.live.account(done, StageCost.USEFUL)
         if not self.live.execution.is_final_stage and link.peer is not None:
             link.peer.send(self.live.ack(attempt))
--- a/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
@@ -28,7 +28,7 @@
         self.overall_ = Ewma(initial=DEFAULT_SERVICE_MS, weight=ESTIMATE_WEIGHT)
         self.per_token_ = Ewma(initial=DEFAULT_TOKEN_MS, weight=ESTIMATE_WEIGHT)
 
-    def note(self, stage: str, service_ms: float, tokens: int) -> None:
+    def record(self, stage: str, service_ms: float, tokens: int) -> None:
         """Record one finished attempt."""
         if tokens:
             self.per_token_.update(service_ms / tokens)
--- a/packages/leadford/src/leadford/pipelines/admission/tests/test_admission.py
+++ b/packages/leadford/src/leadford/pipelines/admission/tests/test_admission.py
@@ -23,7 +23,7 @@
     )
     admission = EndpointAdmission(queue=queue, concurrency=2, queue_limit=queue_limit)
     for _ in range(50):
-        admission.estimate_.note("s", 100.0, 0)
+        admission.estimate_.record("s", 100.0, 0)
     return admission
 
 
--- a/packages/leadford/src/leadford/pipelines/retries/_hedge.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_hedge.py
@@ -24,7 +24,7 @@
         self.arrivals_: list[float] = []
         self.next_ = 0
 
-    def note(self, elapsed_ms: float) -> None:
+    def record(self, elapsed_ms: float) -> None:
         """Record how long a winning attempt took."""
         if len(self.arrivals_) < SAMPLES_KEPT:
             self.arrivals_.append(elapsed_ms)
--- a/packages/leadford/src/leadford/pipelines/retries/tests/test_retries.py
+++ b/packages/leadford/src/leadford/pipelines/retries/tests/test_retries.py
@@ -97,7 +97,7 @@
     policy = HedgePolicy()
     assert policy.delay_ms() is None
     for number in range(300):
-        policy.note(10.0 + number % 100)
+        policy.record(10.0 + number % 100)
     assert 150.0 < policy.delay_ms() < 170.0
 
 
