--- a/packages/leadford/src/leadford/pipelines/claims/_keys.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_keys.py
@@ -1,9 +1,14 @@
-"""Derive request ids and shards from idempotency keys."""
+"""Derive request ids and shards from idempotency keys.
+
+The same key gives the same id and shard in every entry and every version: claims are
+stored under them.
+"""
 
 from hashlib import blake2b
 
 from leadford.common import RequestId, WorkspaceId, stable_hash
 
+# Bytes of the digest in a request id; a part of the stored form.
 REQUEST_ID_BYTES = 16
 
 
--- a/packages/leadford/src/leadford/pipelines/claims/_pace.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_pace.py
@@ -1,8 +1,16 @@
-"""Pace writes to the store, slower while it is slow or refusing."""
+"""Pace writes to the store, slower while it is slow or refusing.
+
+Held by the claim writer of an entry (`leadford_server.pipelines.entry`). It changes the
+rate of writes only.
+"""
 
 from leadford.common import TokenBucket
 
+# Seconds after which an answer of the store counts as slow; commit 7457c0a, not
+# measured.
 SLOW_ANSWER_S = 0.25
+# Least part of the budgeted rate, and the factors after a good and after a bad answer;
+# floor and recovery from commit e6bf352, none was varied.
 PACE_FLOOR = 0.25
 RECOVERY = 2.0
 BACKOFF = 0.5
--- a/packages/leadford/src/leadford/pipelines/config/_change.py
+++ b/packages/leadford/src/leadford/pipelines/config/_change.py
@@ -1,4 +1,8 @@
-"""Turn an operator's change into the next head, or say why it cannot be made."""
+"""Turn an operator's change into the next head, or say why it cannot be made.
+
+Called by the entry that an operator asked. The chunks are stored first, then the head
+by conditional update: a change that lost a race is made again from the newer head.
+"""
 
 import msgspec
 from returns.result import Failure, Result, Success
--- a/packages/leadford/src/leadford/pipelines/config/_check.py
+++ b/packages/leadford/src/leadford/pipelines/config/_check.py
@@ -1,4 +1,7 @@
-"""Check a configuration whole and list every fault with its path."""
+"""Check a configuration whole and list every fault with its path.
+
+Called before a change is stored and again when a stored configuration is read.
+"""
 
 from typing import Any
 
--- a/packages/leadford/src/leadford/pipelines/config/_model.py
+++ b/packages/leadford/src/leadford/pipelines/config/_model.py
@@ -1,4 +1,9 @@
-"""Define the typed configuration of a fleet."""
+"""Define the typed configuration of a fleet.
+
+The stored form (`_store_form`), the file that an operator applies and the language all
+use these names; fields may be added with a default, never renamed. Values that depend
+on each other are checked by `_check`.
+"""
 
 from typing import Annotated
 
--- a/packages/leadford/src/leadford/pipelines/costs/_account.py
+++ b/packages/leadford/src/leadford/pipelines/costs/_account.py
@@ -1,10 +1,16 @@
-"""Sum service time and waste per stage, pipeline and workspace."""
+"""Sum service time and waste per stage, pipeline and workspace.
+
+Written by an entry when an attempt ends; read for `show cost` and the metrics. It holds
+endpoint time only, and knows nothing of prices.
+"""
 
 from collections import OrderedDict
 from enum import Enum
 
 import msgspec
 
+# Lines of an account; further workspaces are summed under `OVERFLOW_WORKSPACE`; commit
+# 7457c0a, not measured.
 LINES_KEPT = 2000
 OVERFLOW_WORKSPACE = "(others)"
 
--- a/packages/leadford/src/leadford/pipelines/execution/_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/_request.py
@@ -1,4 +1,9 @@
-"""Hold the state of one request and match what comes back to it."""
+"""Hold the state of one request and match what comes back to it.
+
+One for each request that an entry of the own interface runs. It decides which answers
+count (a live attempt, the next sequence, the same tokens as before) and what may be
+told to the caller about what ran. Sending, retries and hedges are decided elsewhere.
+"""
 
 from enum import Enum
 
--- a/packages/leadford/src/leadford/pipelines/language/_apply.py
+++ b/packages/leadford/src/leadford/pipelines/language/_apply.py
@@ -1,4 +1,8 @@
-"""Turn a command into the configuration that it asks for."""
+"""Turn a command into the configuration that it asks for.
+
+Pure: the entry checks and stores the result (`leadford.pipelines.config`). A command
+that does not fit the configuration in force changes nothing.
+"""
 
 from collections.abc import Callable
 
--- a/packages/leadford/src/leadford/pipelines/language/_grammar.py
+++ b/packages/leadford/src/leadford/pipelines/language/_grammar.py
@@ -1,4 +1,8 @@
-"""Hold the one grammar of the language."""
+"""Hold the one grammar of the operators' language.
+
+docs/operators describes it for those who use it; a name after `->` is a method of
+`_parse._Builder`.
+"""
 
 GRAMMAR = r"""
 start: statement ";"?
--- a/packages/leadford/src/leadford/pipelines/language/_parse.py
+++ b/packages/leadford/src/leadford/pipelines/language/_parse.py
@@ -1,4 +1,9 @@
-"""Turn a text into a statement, or say at which column it went wrong."""
+"""Turn a text into a statement, or say at which column it went wrong.
+
+Used by the entry for texts of operators. The grammar is in `_grammar`, the statements
+in `_statements`; methods of `_Builder` are named after the rules and aliases of the
+grammar.
+"""
 
 import msgspec
 from lark import Lark, Token, Transformer
@@ -8,7 +13,9 @@
 from leadford.pipelines.language import _statements as s
 from leadford.pipelines.language._grammar import GRAMMAR
 
+# Characters of a statement at most; not measured.
 STATEMENT_CHARS_MAX = 2000
+# Expected words that a fault names at most.
 EXPECTED_SHOWN = 12
 
 
--- a/packages/leadford/src/leadford/pipelines/language/_statements.py
+++ b/packages/leadford/src/leadford/pipelines/language/_statements.py
@@ -1,4 +1,8 @@
-"""Define the statements as frozen records."""
+"""Define the statements of the operators' language as frozen records.
+
+Made by `_parse`; queries are answered by the entry, commands applied by `_apply`. The
+values of the Enums are the words of the language.
+"""
 
 from enum import Enum
 
--- a/packages/leadford/src/leadford/pipelines/language/_tables.py
+++ b/packages/leadford/src/leadford/pipelines/language/_tables.py
@@ -1,4 +1,7 @@
-"""Hold the rows that a query answers, and filter them."""
+"""Hold the rows that a query answers, and filter them.
+
+Filled by the entry that was asked, from its own state and from the answers of others.
+"""
 
 import operator
 
--- a/packages/leadford/src/leadford/pipelines/placement/_lease.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_lease.py
@@ -1,4 +1,8 @@
-"""Hold the right to plan a pool by conditional updates of the plan's own object."""
+"""Hold the right to plan a pool by conditional updates of the plan's own object.
+
+Asked by the planner of each entry (`leadford_server.pipelines.entry`). `PlanRecord` is
+a stored form: its fields and their names are read by running and older processes.
+"""
 
 import cbor2
 import msgspec
@@ -6,6 +10,8 @@
 from leadford.common import EntryId
 from leadford.pipelines.placement._planner import Plan
 
+# Seconds for which a lease holds, and after which its holder renews it; commit 106e613,
+# not measured.
 LEASE_S = 15.0
 RENEW_S = 5.0
 
--- a/packages/leadford/src/leadford/pipelines/placement/_orders.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_orders.py
@@ -1,4 +1,9 @@
-"""Turn plans into orders to one engine, never two that contradict in doubt."""
+"""Turn plans into orders to one engine, never two that contradict in doubt.
+
+Held by the agent of an engine, which asks for the next order whenever a plan came or
+the engine said what it holds. An order carries the version of the plan's stored object
+as a fence; an engine that checks it refuses orders of older plans itself.
+"""
 
 from enum import Enum
 
@@ -6,6 +11,8 @@
 
 from leadford.pipelines.placement._planner import ModelCopy
 
+# Seconds after which an order without an answer can no longer arrive; commit 106e613,
+# not measured.
 DOUBT_S = 5.0
 
 
--- a/packages/leadford/src/leadford/pipelines/placement/_planner.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_planner.py
@@ -1,10 +1,17 @@
-"""Plan a pool: who holds which model version, in small safe steps."""
+"""Plan a pool: who holds which model version, in small safe steps.
+
+Asked by the entry that holds the planning lease of the pool (`_lease`), with what the
+engines report. The plan is stored; agents turn it into orders (`_orders`). What a copy
+costs to load is paid from a bucket at the rate of the weight store.
+"""
 
 import msgspec
 
 from leadford.common import EndpointId, HallId, TokenBucket, rendezvous_weight
 from leadford.pipelines.config import ModelConfig
 
+# Part of a pool's engines that may load at once, one at least; commit 106e613, not
+# measured.
 LOADS_AT_ONCE_FRACTION = 0.34
 
 
--- a/packages/leadford/src/leadford/pipelines/queues/_base.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_base.py
@@ -1,4 +1,10 @@
-"""Define queued work and the contract of a queue policy."""
+"""Define queued work and the contract of a queue policy.
+
+An agent holds one queue for its endpoint; the policy decides what is served next, and
+the admission (`leadford.pipelines.admission`) asks it how much stands before a
+newcomer. The configuration names the policy (`queue` of the tuning). Clocks are passed
+in.
+"""
 
 from collections.abc import Callable, Iterator
 from typing import Protocol
--- a/packages/leadford/src/leadford/pipelines/queues/_classes.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_classes.py
@@ -1,8 +1,14 @@
-"""Serve classes of priority in order, with a small part left to the lowest."""
+"""Serve classes of priority in order, with a small part left to the lowest.
+
+Shared by the policies that differ only in the order within a class; each names the
+ordering of one class in `_new_class`. An attempt that was removed stays in its ordering
+until its turn and is passed over there.
+"""
 
 from leadford.common import WorkspaceId
 from leadford.pipelines.queues._base import ItemIndexMixin, QueuedAttempt, TermsLookup
 
+# Turns of which one goes to the lowest class that waits; commit 7457c0a, not measured.
 LOWEST_CLASS_TURN = 20
 
 
--- a/packages/leadford/src/leadford/pipelines/queues/_fair.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_fair.py
@@ -1,4 +1,9 @@
-"""Share an endpoint between workspaces by weighted fair queueing."""
+"""Share an endpoint between workspaces by weighted fair queueing.
+
+Start-time fair queueing: a workspace that begins to wait gets a start tag, each attempt
+served moves its tag on by the cost over the workspace's share, and the lowest tag is
+served next. A share counts only while its workspace waits.
+"""
 
 from heapq import heappop, heappush
 
@@ -7,6 +12,7 @@
 from leadford.pipelines.queues._classes import ClassQueueMixin
 from leadford.pipelines.queues._flows import FlowTable
 
+# Finish tags kept before those in the past are dropped; commit 7457c0a, not measured.
 TAGS_KEPT = 1024
 
 
--- a/packages/leadford/src/leadford/pipelines/queues/_fifo.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_fifo.py
@@ -1,4 +1,7 @@
-"""Provide plain orders: first in first out, and earliest deadline."""
+"""Provide plain orders: first in first out, and earliest deadline.
+
+Neither looks at workspaces. They are there to compare the others with.
+"""
 
 from collections import deque
 from heapq import heappop, heappush
--- a/packages/leadford/src/leadford/pipelines/queues/_flows.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_flows.py
@@ -1,4 +1,8 @@
-"""Hold the waiting attempts of one workspace in order of deadline."""
+"""Hold the waiting attempts of one workspace in order of deadline.
+
+A flow belongs to one workspace in one class of priority and is closed once it is empty.
+`_fair` and `_elastic` choose the flow, the flow chooses the attempt.
+"""
 
 from heapq import heappop, heappush
 
--- a/packages/leadford/src/leadford/pipelines/results/_kept.py
+++ b/packages/leadford/src/leadford/pipelines/results/_kept.py
@@ -1,9 +1,15 @@
-"""Keep tokens and ends of attempts, and feed them out under credit."""
+"""Keep tokens and ends of attempts, and feed them out under credit.
+
+Owned by an agent, so that an entry which takes a request over can read on where the
+lost one stopped. Ended attempts are kept for a time and within bounds, the oldest go
+first; those that run are always kept. What is sent to whom is decided by the agent.
+"""
 
 from collections import OrderedDict
 
 from leadford.protocol import Done
 
+# Ended attempts kept at most, and bytes of their tokens; commit 7457c0a, not measured.
 RESULTS_KEPT = 4096
 BYTES_KEPT = 64 * 1024 * 1024
 
