--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
@@ -1,4 +1,10 @@
-"""Call each kind of endpoint through its published protocol."""
+"""Call each kind of endpoint through its published protocol.
+
+Used by `AttemptRunner`; the pool's kind says which adapter. An outcome says how the
+call ended and what it cost, never whether it is tried again. An answer that belongs to
+another request is not used (`crossed`). A stream of an engine that breaks is resumed at
+the same engine.
+"""
 
 import asyncio
 import json
@@ -12,8 +18,11 @@
 from leadford.protocol import DoneStatus, Submit
 from leadford_server.web import NO_ANSWER, fetch
 
+# Seconds for a connection to the endpoint beside the agent; not measured.
 CONNECT_S = 1.0
+# Times that a broken stream is resumed; commit 7457c0a, not measured.
 RESUMES_MAX = 2
+# Bytes of a result that are accepted; not measured.
 RESULT_BYTES_MAX = 4 * 1024 * 1024
 
 TokenSink = Callable[[list[str], str], None]
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
@@ -1,4 +1,9 @@
-"""Feed kept tokens and ends to the entries that wait for them."""
+"""Feed kept tokens and ends to the entries that wait for them.
+
+Called when tokens or ends came, and when an entry allows more. The first token of a
+stream and each end leave at once; other tokens are gathered for a tick, so that one
+message serves many streams.
+"""
 
 import asyncio
 
@@ -7,6 +12,7 @@
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.agent._adapters import attempt_key
 
+# Seconds for which tokens are gathered; commit 0b8e728, not measured.
 TICK_S = 0.02
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
@@ -1,4 +1,8 @@
-"""Run the agent: its sockets, its configuration and its planned stop."""
+"""Run the agent: its sockets, its configuration and its planned stop.
+
+One beside each endpoint. `AgentService` begins with the first configuration that names
+the endpoint; while none does, the agent drains.
+"""
 
 import asyncio
 import random
@@ -22,8 +26,11 @@
 from leadford_server.pipelines.store import StoreClient
 from leadford_server.settings import AgentSettings, SocketAddress
 
+# Seconds between looks at what still runs, and most seconds for which it is awaited;
+# neither was measured.
 DRAIN_POLL_S = 0.02
 DRAIN_MAX_S = 120.0
+# Calls at once to the endpoint and the store; not measured.
 HTTP_CLIENTS_MAX = 512
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/config/_follower.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_follower.py
@@ -1,4 +1,10 @@
-"""Keep the newest readable configuration in force in this process."""
+"""Keep the newest readable configuration in force in this process.
+
+Entries that are relays watch the store; the others hear versions from their peers and
+read from whoever is ahead, and poll the store seldom. A configuration that cannot be
+read is reported and leaves the one in force. Configuration of the users' platform is
+followed by `leadford_server.forwarding` (`_follow`, `_config`).
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -29,9 +35,14 @@
 )
 from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
+# Seconds between readings of the store by a process that is no relay; not measured.
 POLL_S = 60.0
+# Seconds between tries until the first configuration is read, doubled up to the most;
+# neither was measured.
 FIRST_WAIT_S = 0.2
 FIRST_WAIT_MAX_S = 5.0
+# Seconds within which a process reads the store itself when its peer could not give the
+# newer version, and after a watch that failed; not measured.
 CATCH_UP_WAIT_S = 1.0
 
 
@@ -147,7 +158,8 @@
             wait_s *= self.random.uniform(0.75, 1.25)
             await asyncio.wait_for(self.wake_.wait(), wait_s)
         except TimeoutError:
-            pass
+            # Nothing woke it: the caller looks again.
+            return
 
     async def _watch_once(self) -> None:
         watched = await self.store.watch(HEAD_NAME, self.object_version_)
--- a/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
@@ -1,4 +1,8 @@
-"""Read heads and chunks from the store or from a peer."""
+"""Read heads and chunks from the store or from a peer.
+
+Both kinds of source answer the same two questions; a failure is a text for the log, and
+the follower decides what is tried next.
+"""
 
 import asyncio
 from typing import Protocol
@@ -17,9 +21,12 @@
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.store import StoreClient, StoredValue
 
+# Names of the stored objects.
 HEAD_NAME = "config/head"
 CHUNK_PREFIX = "config/chunks/"
+# Seconds for which a peer is awaited, and three times that for chunks; not measured.
 PEER_ANSWER_S = 1.0
+# Chunks that are read from the store at once; not measured.
 CHUNKS_AT_ONCE = 8
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_answers.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_answers.py
@@ -1,4 +1,8 @@
-"""Hold the answer to a request while it grows, for any number of readers."""
+"""Hold the answer to a request while it grows, for any number of readers.
+
+Owned by the run of the request (`_run`), which appends and ends it; each caller that
+waits or streams is a reader (`_http`). A reader that goes leaves the run as it is.
+"""
 
 import asyncio
 from collections.abc import Callable
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_body.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_body.py
@@ -1,4 +1,8 @@
-"""Read what routing can use from a caller's body."""
+"""Read what routing can use from a caller's body.
+
+The body itself passes unread to the endpoints; a prompt gives the prefix by which an
+engine is preferred, and how many tokens it has to read.
+"""
 
 import msgspec
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_changes.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_changes.py
@@ -1,4 +1,10 @@
-"""Make configuration changes: conditional, idempotent, audited, settled."""
+"""Make configuration changes: conditional, idempotent, audited, settled.
+
+Called for operators (`_operators`). A change is planned from the newest head, its
+chunks are stored, then the head by conditional update; one that lost a race is planned
+again. The command id stands in the audit record, so that a change in doubt is found
+again.
+"""
 
 import time
 from collections.abc import Callable
@@ -28,7 +34,9 @@
 )
 from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
+# Times that a change is planned and written; commit cb7d795, not measured.
 TRIES_MAX = 5
+# Newest audit records that the text of a conflict names.
 CONFLICT_RECORDS_SHOWN = 5
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_claims.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_claims.py
@@ -1,4 +1,11 @@
-"""Claim keys: forward to the entry that batches a shard, or write to the store."""
+"""Claim keys: forward to the entry that batches a shard, or write to the store.
+
+A request that must run at most once is claimed before its stage begins
+(docs/design/at-most-once.md). The log of a shard and its rules are
+`leadford.pipelines.claims`; here claims of one shard are gathered into one write, by
+the entry that owns the shard, and an answer of the store in doubt is settled by
+reading.
+"""
 
 import asyncio
 import time
@@ -26,9 +33,15 @@
 from leadford_server.pipelines.entry._entries import EntryPeers
 from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
+# Seconds for which the owner of a shard is awaited before the claim is written here;
+# commit 7457c0a, not measured.
 FORWARD_S = 0.5
+# Claims of one write; commit 7457c0a, not measured.
 BATCH_MAX = 2000
+# Writes and readings until a batch is settled; commit 7457c0a, not measured.
 SETTLE_TRIES = 5
+# Claims remembered whose write is in doubt, so that a repetition takes them up; commit
+# 7457c0a, not measured.
 ABANDONED_KEPT = 10_000
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
@@ -1,4 +1,9 @@
-"""Know the endpoints that this entry may use and hold the connections to them."""
+"""Know the endpoints that this entry may use and hold the connections to them.
+
+Owns the view of each endpoint that the routing reads, and the ejector of each pool. It
+follows the configuration, load reports, drains and lost connections; which of the
+candidates is asked is decided by the routing policy (`_sending`).
+"""
 
 from collections.abc import Callable
 from random import Random
@@ -21,6 +26,7 @@
 from leadford_server.logs import EventLog
 from leadford_server.peers import Dialer, Identity, PeerConnection, PeerHandler
 
+# Milliseconds one way to another data hall; commit 7457c0a, not measured.
 OTHER_HALL_MS = 0.5
 
 _EVENT_BY_STATE = {
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
@@ -1,4 +1,10 @@
-"""Hold connections to other entries, and the notes kept for them."""
+"""Hold connections to other entries, and the notes kept for them.
+
+A note says where a request runs. Each request's note is kept by the first of its
+candidate entries that are connected, so that any entry can resume its answer
+(`find_note`). The candidates are the same in every entry: the rendezvous order of the
+request's shard.
+"""
 
 import asyncio
 from collections import OrderedDict
@@ -18,12 +24,20 @@
 from leadford_server.peers import Dialer, PeerConnection
 from leadford_server.pipelines.entry._directory import DialerFactory
 
+# Notes kept for other entries; commit 7457c0a, not measured.
 NOTES_KEPT = 50_000
+# Shards over which notes are spread: few enough that the order of each is remembered;
+# commit 7457c0a, not measured.
 NOTE_SHARDS = 64
+# Orders of entries that are remembered; commit 65523d7, not measured.
 ORDERS_KEPT = 256
+# Seconds between looks at connections that are awaited; not measured.
 CONNECT_POLL_S = 0.02
+# Entries that keep a note, and those that may, in order; commits 7457c0a and e6bf352,
+# not measured.
 NOTE_KEEPERS = 2
 KEEPER_CANDIDATES = 6
+# Seconds for which keepers are connected, and then asked; commit 7457c0a, not measured.
 NOTE_ANSWER_S = 0.3
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_fanout.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_fanout.py
@@ -1,4 +1,8 @@
-"""Ask every entry, and every agent it is connected to, for their rows."""
+"""Ask every entry, and every agent it is connected to, for their rows.
+
+Used for queries of operators. How many processes were asked, and how
+many answered, goes with the rows.
+"""
 
 import asyncio
 from collections.abc import Iterable
@@ -17,9 +21,13 @@
     encode_rows,
 )
 
+# Seconds for which entries are awaited; an entry awaits its agents for less, so that
+# its own answer is in time. Commit cb7d795, not measured.
 ANSWER_S = 1.5
 AGENT_ANSWER_S = 0.8
+# Seconds for which connections to entries are awaited; not measured.
 CONNECT_S = 1.0
+# Tables whose rows only agents have.
 AGENT_TABLES = ("queue",)
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_hosts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_hosts.py
@@ -1,4 +1,7 @@
-"""Poll the platform's lagging host list."""
+"""Poll the platform's host list, which lags behind the hosts.
+
+What the list means is decided in `leadford.pipelines.membership`.
+"""
 
 import asyncio
 from random import Random
@@ -10,6 +13,7 @@
 from leadford.pipelines.membership import HostState, HostTable
 from leadford_server.web import fetch
 
+# Seconds between polls; not measured.
 POLL_S = 2.0
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_http.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_http.py
@@ -1,4 +1,10 @@
-"""Serve callers over HTTP."""
+"""Serve callers over HTTP.
+
+Checks what a caller sends, begins or finds the request (`_requests`) and writes its
+answer as a document or as a stream of events. A caller that goes cancels a request that
+nobody else reads, a moment later. docs/operators/running.md
+and docs/operators/failures.md say what callers may rely on.
+"""
 
 import asyncio
 import hashlib
@@ -32,9 +38,13 @@
 from leadford_server.pipelines.entry._run import RequestRun
 from leadford_server.pipelines.entry._services import EntryServices
 
+# Bytes of a body and characters of a key that are accepted; not measured.
 BODY_BYTES_MAX = 1024 * 1024
 KEY_CHARS_MAX = 256
+# Milliseconds that a caller may ask for at most; not measured.
 DEADLINE_MAX_MS = 600_000.0
+# Seconds in which a caller that went may read on before its request is cancelled;
+# commit 7457c0a, not measured.
 RESUME_GRACE_S = 2.0
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_operators.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_operators.py
@@ -1,4 +1,9 @@
-"""Serve operators over HTTP: statements and whole configurations."""
+"""Serve operators over HTTP: statements and whole configurations.
+
+Queries are answered from this entry (`_tables`) and the fleet (`_fanout`), commands are
+made by `_changes`. A change is answered once every process runs it, or with the names
+of those that do not.
+"""
 
 import asyncio
 import hashlib
@@ -35,6 +40,8 @@
     merge_rows,
 )
 
+# Seconds for which a change is awaited in every process, and between looks; commit
+# cb7d795, not measured.
 WAIT_MAX_S = 12.0
 WAIT_STEP_S = 0.1
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_planner.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_planner.py
@@ -1,4 +1,9 @@
-"""Plan the models of each engine pool, in one entry at a time."""
+"""Plan the models of each engine pool, in one entry at a time.
+
+Plan and lease are decided in `leadford.pipelines.placement`; here the plan object is
+read and written, and the agents are sent what it says. Without the store nothing is
+planned, and engines keep what they hold.
+"""
 
 import asyncio
 import time
@@ -31,8 +36,11 @@
 from leadford_server.pipelines.entry._entries import EntryPeers
 from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
+# Seconds between rounds of planning, more or less by a quarter; not measured.
 ROUND_S = 1.0
+# Seconds after which a plan that another entry wrote is read again; not measured.
 READ_S = 5.0
+# Entries that may plan a pool, the first of its order; commit 106e613, not measured.
 CANDIDATES = 2
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
@@ -1,4 +1,10 @@
-"""Run the entry: its sockets, its configuration and its planned stop."""
+"""Run the entry of leadford's own interface: sockets, configuration, planned stop.
+
+Builds the parts and hands connections and messages to those that want them. A planned
+stop is announced, then requests are refused, then those that run are awaited. The entry
+that the users' platform runs is `leadford_server.forwarding`; its stop follows other
+rules (docs/ARCHITECTURE.md).
+"""
 
 import asyncio
 import random
@@ -40,9 +46,14 @@
 from leadford_server.pipelines.store import StoreClient
 from leadford_server.settings import EntrySettings, SocketAddress
 
+# Seconds between the announcement of a stop and the first refusal, in which requests
+# that are on their way are served; commit 33ca4a6, not varied.
 ANNOUNCE_S = 0.5
+# Seconds between looks at what still runs, and most seconds for which it is awaited;
+# neither was measured.
 DRAIN_POLL_S = 0.02
 DRAIN_MAX_S = 120.0
+# Bytes of a head that are accepted; not measured.
 HEADER_BYTES_MAX = 16 * 1024
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
@@ -1,4 +1,10 @@
-"""Hold the live requests of an entry: begin, join, resume and cancel them."""
+"""Hold the live requests of an entry: begin, join, resume and cancel them.
+
+A request with a key that runs here is joined, one that another entry runs is taken over
+by its note (`_entries`). `RequestRun` drives each request; messages of agents are
+handed to the run that they name. Ended and refused requests are remembered for a while,
+for callers that repeat and operators who ask.
+"""
 
 import asyncio
 import re
@@ -35,12 +41,19 @@
 from leadford_server.pipelines.entry._services import EntryServices
 from leadford_server.pipelines.entry._trail import Trail, TrailStep
 
+# Ended requests that are remembered, and trails of refused ones; not measured.
 ENDED_KEPT = 500
 REFUSED_KEPT = 1000
+# Seconds for which an ended request can be read again here; not measured.
 ENDED_KEPT_S = 10.0
+# Seconds between looks for the note of a key, and most seconds; commit 7457c0a, not
+# measured.
 LOOKUP_STEP_S = 0.05
 LOOKUP_MAX_S = 1.0
+# Seconds that a request has which is taken over, since its note holds no deadline;
+# commit 7457c0a, not measured.
 RESUME_S = 30.0
+# The least urgent priority.
 PRIORITY_LAST = 9
 LOCATOR = re.compile(r"^([a-z0-9][a-z0-9_.-]{0,62})/(\d{1,6}):(\d{1,9}|end)$")
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_run.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_run.py
@@ -1,4 +1,10 @@
-"""Run one request: its stages in turn, claims, retries, and a true end."""
+"""Run one request: its stages in turn, claims, retries, and a true end.
+
+The flow of a request of the own interface. Each stage is held back while its pipeline
+can wait and the pool is full, claimed if it must run at most once, then attempted
+(`_attempts`) until it has a result, a retry is not allowed, or the time is over. The
+answer says "not run" only where nothing of an effect can have run.
+"""
 
 import asyncio
 from random import Random
@@ -19,6 +25,8 @@
 from leadford_server.pipelines.entry._services import EntryServices
 from leadford_server.pipelines.entry._trail import Trail
 
+# Seconds between looks for room while a request is held back; commit 0b8e728, not
+# measured.
 ROOM_POLL_S = 0.05
 
 _REASON_BY_VERDICT = {
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_services.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_services.py
@@ -1,4 +1,7 @@
-"""Hold what every request of an entry shares."""
+"""Hold what every request of an entry shares.
+
+Built once by the process; `apply_config` is the one place that changes it.
+"""
 
 import time
 from collections.abc import Callable
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_tables.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_tables.py
@@ -1,4 +1,8 @@
-"""Build the rows that this entry has for each table of the language."""
+"""Build the rows that this entry has for each table of the language.
+
+`COLUMNS_BY_TABLE` is what operators see. Rows of several processes are merged here:
+states of an endpoint by the newest, counts by their sum.
+"""
 
 from collections import Counter
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_trail.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_trail.py
@@ -1,7 +1,11 @@
-"""Remember what was decided for a request, for operators who ask why."""
+"""Remember what was decided for a request, for operators who ask why.
+
+Read by `explain request`; nothing is decided by it.
+"""
 
 import msgspec
 
+# Steps of a request that are kept; the later ones are dropped. Not measured.
 STEPS_KEPT = 40
 
 
--- a/packages/leadford-server/src/leadford_server/pipelines/store/_client.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/store/_client.py
@@ -1,4 +1,9 @@
-"""Call the platform's object API and sort its answers."""
+"""Call the platform's object API and sort its answers.
+
+The client of leadford's own interface. Every answer is a value or a `StoreError` of a
+kind; a write without an answer may have taken effect (`IN_DOUBT`), and the caller has
+to read.
+"""
 
 from enum import Enum
 from urllib.parse import quote
@@ -12,7 +17,9 @@
 from leadford_server.metrics import STORE_CALLS_TOTAL
 from leadford_server.web import fetch
 
+# Seconds for a call; not measured.
 TIMEOUT_S = 2.0
+# Seconds for which the store holds a watch; not measured.
 WATCH_S = 30.0
 
 
