--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -222,7 +222,7 @@
     print(f"subset, us by endpoints of a pool: {fit(sizes, times)}")
     ids = [f"e{n}" for n in range(350)]
     plain_us = time_us(lambda: rendezvous_order("r", ids), 20)
-    print(f"keepers by plain rendezvous over 350 entries: {plain_us:.0f} us")
+    print(f"note holders by plain rendezvous over 350 entries: {plain_us:.0f} us")
 
 
 def protocol() -> None:
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
@@ -1,7 +1,8 @@
 """Keep the engine's models as the newest plan says.
 
-Started by `AgentProcess` for an engine. `OrderDesk` (`leadford.pipelines.placement`)
-decides which order comes next; here it is sent, and the engine asked what it holds.
+Started by `AgentProcess` for an engine. `OrderSequence`
+(`leadford.pipelines.placement`) decides which order comes next; here it is sent, and
+the engine asked what it holds.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
 from leadford.events import Event
-from leadford.pipelines.placement import ModelCopy, OrderDesk, OrderStep
+from leadford.pipelines.placement import ModelCopy, OrderSequence, OrderStep
 from leadford.protocol import HeldModel, PlanOrder
 from leadford_server.logs import EventLog
 from leadford_server.web import NO_ANSWER, fetch
@@ -31,7 +32,7 @@
     models: dict[str, str] = {}
 
 
-class ModelKeeper:
+class ModelLoader:
     """Give the engine orders, one at a time, and know what it holds."""
 
     def __init__(
@@ -39,13 +40,13 @@
         *,
         url: str,
         http: AsyncHTTPClient,
-        desk: OrderDesk,
+        sequence: OrderSequence,
         log: EventLog,
         on_change: Callable[[], None],
     ) -> None:
         self.url = url
         self.http = http
-        self.desk = desk
+        self.sequence = sequence
         self.log = log
         self.on_change = on_change
         self.holds_: frozenset[ModelCopy] = frozenset()
@@ -63,7 +64,7 @@
     def take(self, order: PlanOrder) -> None:
         """Take a plan in; an older one than is obeyed changes nothing."""
         wanted = frozenset(ModelCopy(held.model, held.version) for held in order.models)
-        if self.desk.offer(order.fence, wanted):
+        if self.sequence.offer(order.fence, wanted):
             self.wake_.set()
 
     def held(self) -> list[HeldModel]:
@@ -73,7 +74,7 @@
     async def _run(self) -> None:
         await self._read()
         while True:
-            step = self.desk.next_step(self.holds_, time.monotonic())
+            step = self.sequence.next_step(self.holds_, time.monotonic())
             if step is not None:
                 await self._give(step)
                 await self._read()
@@ -83,7 +84,7 @@
     async def _pause(self) -> None:
         """Wait for a plan; look again soon while an order is in doubt."""
         self.wake_.clear()
-        doubtful = self.desk.wanted_ != self.holds_ and self.desk.fence_
+        doubtful = self.sequence.wanted_ != self.holds_ and self.sequence.fence_
         try:
             await asyncio.wait_for(self.wake_.wait(), POLL_S if doubtful else None)
         except TimeoutError:
@@ -119,4 +120,4 @@
         response = await fetch(self.http, request)
         if response.code == NO_ANSWER:
             self.log.report(Event.ORDER_IN_DOUBT, **order)
-            self.desk.record_lost(step, time.monotonic())
+            self.sequence.record_lost(step, time.monotonic())
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
@@ -14,13 +14,13 @@
 from leadford.common import PoolKind
 from leadford.events import Event
 from leadford.pipelines.config import FleetConfig, PoolConfig
-from leadford.pipelines.placement import OrderDesk
+from leadford.pipelines.placement import OrderSequence
 from leadford.protocol import Message, PlanOrder, Refused, Submit
 from leadford_server.logs import EventLog
 from leadford_server.metrics import MetricsHandler
 from leadford_server.peers import Identity, PeerConnection, PeerServer
 from leadford_server.pipelines.agent._adapters import endpoint_adapters
-from leadford_server.pipelines.agent._models import ModelKeeper
+from leadford_server.pipelines.agent._models import ModelLoader
 from leadford_server.pipelines.agent._service import AgentService
 from leadford_server.pipelines.config import ConfigFollower
 from leadford_server.pipelines.store import StoreClient
@@ -68,7 +68,7 @@
         )
         self.store_ = StoreClient(url=settings.store, http=self.http_, log=self.log_)
         self.service_: AgentService | None = None
-        self.keeper_: ModelKeeper | None = None
+        self.model_loader_: ModelLoader | None = None
         self.peers_: set[PeerConnection] = set()
         self.stopping_ = False
         self.follower_ = ConfigFollower(
@@ -141,15 +141,15 @@
         """Follow plans, where the endpoint is an engine."""
         if pool.kind is not PoolKind.ENGINE:
             return
-        self.keeper_ = ModelKeeper(
+        self.model_loader_ = ModelLoader(
             url=self.settings.endpoint_url,
             http=self.http_,
-            desk=OrderDesk(checks_fences=pool.checks_fences),
+            sequence=OrderSequence(checks_fences=pool.checks_fences),
             log=self.log_,
             on_change=self.service_.report_models,
         )
-        self.service_.attach_models(self.keeper_)
-        self.keeper_.start()
+        self.service_.attach_models(self.model_loader_)
+        self.model_loader_.start()
 
     def peer_connected(self, peer: PeerConnection) -> None:
         """Register a connection of an entry."""
@@ -174,8 +174,8 @@
         if self.follower_.peer_message(peer, message):
             return
         if isinstance(message, PlanOrder):
-            if self.keeper_ is not None:
-                self.keeper_.take(message)
+            if self.model_loader_ is not None:
+                self.model_loader_.take(message)
             return
         if self.service_ is not None:
             self.service_.peer_message(peer, message)
@@ -202,8 +202,8 @@
                 await asyncio.sleep(DRAIN_POLL_S)
         for peer in list(self.peers_):
             await peer.close()
-        if self.keeper_ is not None:
-            self.keeper_.stop()
+        if self.model_loader_ is not None:
+            self.model_loader_.stop()
         self.follower_.stop()
         await self.server_.stop()
         self.web_.stop()
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_reports.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_reports.py
@@ -10,7 +10,7 @@
 from leadford.protocol import ClassLoad, Load, Refused, Submit
 from leadford_server.metrics import ATTEMPTS_TOTAL
 from leadford_server.peers import PeerConnection
-from leadford_server.pipelines.agent._models import ModelKeeper
+from leadford_server.pipelines.agent._models import ModelLoader
 from leadford_server.pipelines.agent._state import EndpointState
 
 # Seconds between load reports that ride on no answer; commit 7457c0a, not measured.
@@ -38,7 +38,7 @@
         self.endpoint_id = endpoint_id
         self.state = state
         self.clock = clock
-        self.keeper_: ModelKeeper | None = None
+        self.model_loader_: ModelLoader | None = None
         self.reported_at_ = 0.0
         self.reported_load_ = 0
         self.reported_token_ms_ = 0.0
@@ -89,7 +89,7 @@
                 ClassLoad(priority, round(ahead_ms, 1))
                 for priority, ahead_ms in self.state.queue_.cost_ms_by_priority_.items()
             ],
-            models=self.keeper_.held() if self.keeper_ is not None else [],
+            models=self.model_loader_.held() if self.model_loader_ is not None else [],
         )
 
     def _token_ms(self) -> float:
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_service.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_service.py
@@ -29,7 +29,7 @@
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.agent._adapters import EndpointAdapter
 from leadford_server.pipelines.agent._feeder import TokenFeeder
-from leadford_server.pipelines.agent._models import ModelKeeper
+from leadford_server.pipelines.agent._models import ModelLoader
 from leadford_server.pipelines.agent._reports import EndpointReports
 from leadford_server.pipelines.agent._runner import AttemptRunner
 from leadford_server.pipelines.agent._state import (
@@ -121,9 +121,9 @@
         self.draining_ = False
         self.reports_.send_load(force=True)
 
-    def attach_models(self, keeper: ModelKeeper) -> None:
-        """Report what an engine holds, by its model keeper, from now on."""
-        self.reports_.keeper_ = keeper
+    def attach_models(self, loader: ModelLoader) -> None:
+        """Report what an engine holds, by its model loader, from now on."""
+        self.reports_.model_loader_ = loader
 
     def report_models(self) -> None:
         """Tell the entries at once what the engine holds now."""
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
@@ -35,9 +35,10 @@
 CONNECT_POLL_S = 0.02
 # Entries that keep a note, and those that may, in order; commits 7457c0a and e6bf352,
 # not measured.
-NOTE_KEEPERS = 2
-KEEPER_CANDIDATES = 6
-# Seconds for which keepers are connected, and then asked; commit 7457c0a, not measured.
+NOTE_REPLICAS = 2
+NOTE_CANDIDATES = 6
+# Seconds for which the entries that hold a note are connected, and then asked; commit
+# 7457c0a, not measured.
 NOTE_ANSWER_S = 0.3
 
 
@@ -50,7 +51,7 @@
 class EntryPeers:
     """Connect to the entries that this one has business with.
 
-    That is the relays of its hall, the owners of claim shards and the keepers of
+    That is the relays of its hall, the owners of claim shards and the entries that hold
     notes: a bounded set, whatever the number of entries.
     """
 
@@ -150,22 +151,22 @@
         if self.accepted_by_id_.get(entry_id) is peer:
             del self.accepted_by_id_[entry_id]
 
-    def keepers(self, request_id: RequestId) -> tuple[str, ...]:
+    def note_holders(self, request_id: RequestId) -> tuple[str, ...]:
         """Return the entries that may keep the note of a request, in order."""
         shard = stable_hash(request_id) % NOTE_SHARDS
-        return _order(f"note/{shard}", self.ids_)[:KEEPER_CANDIDATES]
+        return _order(f"note/{shard}", self.ids_)[:NOTE_CANDIDATES]
 
     def publish(self, note: Note) -> None:
-        """Give a note to the first of its keepers that can be reached."""
+        """Give a note to the first of its holders that can be reached."""
         kept = 0
-        for entry_id in self.keepers(RequestId(note.request_id)):
+        for entry_id in self.note_holders(RequestId(note.request_id)):
             if entry_id == self.entry_id:
                 self._keep(note)
                 kept += 1
             else:
                 peer = self.peer(EntryId(entry_id))
                 kept += peer is not None and peer.send(note)
-            if kept >= NOTE_KEEPERS:
+            if kept >= NOTE_REPLICAS:
                 return
 
     def _keep(self, note: Note) -> None:
@@ -175,12 +176,14 @@
             self.notes_by_request_.popitem(last=False)
 
     async def find_note(self, request_id: RequestId) -> Note | None:
-        """Return the note of a request from any of its keepers."""
+        """Return the note of a request from any of its holders."""
         held = self.notes_by_request_.get(request_id)
         if held is not None:
             return held
-        keepers = [EntryId(i) for i in self.keepers(request_id) if i != self.entry_id]
-        asked = await self.connect(keepers, NOTE_ANSWER_S, wait_for_down=False)
+        note_holders = [
+            EntryId(i) for i in self.note_holders(request_id) if i != self.entry_id
+        ]
+        asked = await self.connect(note_holders, NOTE_ANSWER_S, wait_for_down=False)
         futures: list[asyncio.Future[Note | None]] = []
         for peer in asked:
             if not peer.send(NoteRequest(request_id)):
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_operators.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_operators.py
@@ -67,7 +67,7 @@
     wait: bool = False
 
 
-class OperatorDesk:
+class OperatorService:
     """Answer statements: queries from the fleet, commands through the store."""
 
     def __init__(
@@ -141,14 +141,14 @@
 class _OperatorHandler(web.RequestHandler):
     """Authenticate operators and answer errors."""
 
-    def initialize(self, desk: OperatorDesk) -> None:
-        self.desk = desk
+    def initialize(self, service: OperatorService) -> None:
+        self.service = service
 
     def operator(self) -> str | None:
         """Return the name that goes with the token, or answer 401."""
         scheme, _, token = self.request.headers.get("Authorization", "").partition(" ")
         digest = hashlib.sha256(token.strip().encode()).hexdigest()
-        config = self.desk.follower.tracker_.config_
+        config = self.service.follower.tracker_.config_
         operators = config.operators if config is not None else {}
         for name, operator in operators.items():
             if scheme.lower() == "bearer" and operator.token_hash == digest:
@@ -182,7 +182,7 @@
         accepted: Accepted = changed.unwrap()
         behind: list[str] = []
         if wait:
-            behind = await self.desk.wait_in_force(accepted.version)
+            behind = await self.service.wait_in_force(accepted.version)
         self.finish(
             {
                 "version": accepted.version,
@@ -195,7 +195,7 @@
 
     def fresh_command_id(self) -> str:
         """Return a command id for a caller that gave none."""
-        return f"c{self.desk.fanout.random.getrandbits(64):016x}"
+        return f"c{self.service.fanout.random.getrandbits(64):016x}"
 
 
 class StatementsHandler(_OperatorHandler):
@@ -224,18 +224,18 @@
         command_id = call.command_id or self.fresh_command_id()
         origin = Origin(operator, command_id, call.statement, call.if_version)
         plan = plan_from_command(statement, origin)
-        changed = await self.desk.changes.change(plan, origin)
+        changed = await self.service.changes.change(plan, origin)
         await self.answer_change(changed, command_id, call.wait)
 
     async def _query(self, statement: Show | Explain) -> None:
         if isinstance(statement, Explain):
-            table, coverage = await self.desk.explain(statement)
+            table, coverage = await self.service.explain(statement)
             if not table.rows:
                 self.refuse(404, f"no entry remembers request {statement.request_id}")
                 return
             self._answer_table(table, coverage)
             return
-        table, coverage = await self.desk.show(statement)
+        table, coverage = await self.service.show(statement)
         filtered = filter_table(table, statement.conditions, statement.limit)
         if isinstance(filtered, Failure):
             self.refuse(400, filtered.failure())
@@ -248,7 +248,7 @@
                 "columns": table.columns,
                 "rows": table.rows,
                 "coverage": coverage,
-                "version": self.desk.follower.version,
+                "version": self.service.follower.version,
             }
         )
 
@@ -260,7 +260,7 @@
         """Answer with the version in force."""
         if self.operator() is None:
             return
-        head: ConfigHead | None = self.desk.follower.tracker_.head_
+        head: ConfigHead | None = self.service.follower.tracker_.head_
         self.finish({"version": head.version if head is not None else 0})
 
     async def post(self) -> None:
@@ -280,5 +280,5 @@
         command_id = call.command_id or self.fresh_command_id()
         origin = Origin(operator, command_id, "apply", call.if_version)
         plan = plan_from_config(checked.unwrap(), origin)
-        changed = await self.desk.changes.change(plan, origin)
+        changed = await self.service.changes.change(plan, origin)
         await self.answer_change(changed, command_id, call.wait)
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
@@ -36,7 +36,7 @@
 )
 from leadford_server.pipelines.entry._operators import (
     ConfigHandler,
-    OperatorDesk,
+    OperatorService,
     StatementsHandler,
 )
 from leadford_server.pipelines.entry._planner import PlannerService
@@ -171,7 +171,7 @@
         changes = ChangeService(
             store=self.store_, follower=self.follower_, log=self.log_
         )
-        self.desk_ = OperatorDesk(
+        self.operators_ = OperatorService(
             follower=self.follower_, changes=changes, fanout=self.fanout_
         )
 
@@ -183,8 +183,12 @@
             [
                 (r"/v1/pipelines/([^/]+)/requests", RequestsHandler, shared),
                 (r"/v1/requests/([^/]+)", RequestHandler, shared),
-                (r"/v1/operator/statements", StatementsHandler, {"desk": self.desk_}),
-                (r"/v1/operator/config", ConfigHandler, {"desk": self.desk_}),
+                (
+                    r"/v1/operator/statements",
+                    StatementsHandler,
+                    {"service": self.operators_},
+                ),
+                (r"/v1/operator/config", ConfigHandler, {"service": self.operators_}),
                 (r"/healthz", HealthHandler),
                 (r"/readyz", ReadyHandler, {**shared, "version": self._version}),
                 (r"/metrics", MetricsHandler),
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
@@ -251,7 +251,7 @@
         self, run: RequestRun, new: NewRequest, problem: Problem
     ) -> Answer:
         """Answer a repeated key from the record of its first run."""
-        # The first run may not have told its keepers yet.
+        # The first run may not have told the holders of its note yet.
         tries = int(LOOKUP_MAX_S / LOOKUP_STEP_S)
         note: Note | None = None
         for _ in range(tries):
@@ -340,7 +340,7 @@
     def _note_from(
         self, request_id: RequestId, workspace: WorkspaceId, locator: Locator
     ) -> Note | None:
-        """Build the note that the keepers lost from what the caller remembers."""
+        """Build the note that its holders lost, from what the caller remembers."""
         endpoint = self.services.config_.endpoints.get(locator.endpoint_id)
         if endpoint is None:
             return None
--- a/packages/leadford/src/leadford/pipelines/placement/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/placement/__init__.py
@@ -1,7 +1,7 @@
 """Decide which models and versions are loaded on which engine."""
 
 from leadford.pipelines.placement._lease import PlanningLease, PlanRecord, decode_plan
-from leadford.pipelines.placement._orders import OrderDesk, OrderKind, OrderStep
+from leadford.pipelines.placement._orders import OrderKind, OrderSequence, OrderStep
 from leadford.pipelines.placement._planner import (
     EngineView,
     ModelCopy,
@@ -13,7 +13,7 @@
 __all__ = [
     "EngineView",
     "ModelCopy",
-    "OrderDesk",
+    "OrderSequence",
     "OrderKind",
     "OrderStep",
     "Plan",
--- a/packages/leadford/src/leadford/pipelines/placement/_orders.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_orders.py
@@ -31,7 +31,7 @@
     fence: int
 
 
-class OrderDesk:
+class OrderSequence:
     """Give one order at a time, from the newest plan only.
 
     An engine that does not check fences may still obey an order whose answer was lost.
--- a/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
+++ b/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
@@ -7,8 +7,8 @@
 from leadford.pipelines.placement import (
     EngineView,
     ModelCopy,
-    OrderDesk,
     OrderKind,
+    OrderSequence,
     PlacementPlanner,
     Plan,
     PlanningLease,
@@ -132,29 +132,29 @@
 
 
 def test_an_older_plan_is_not_obeyed():
-    desk = OrderDesk(checks_fences=True)
-    assert desk.next_step(frozenset(), 0.0) is None
-    assert desk.offer(5, frozenset({COPY}))
-    assert not desk.offer(4, frozenset())
-    step = desk.next_step(frozenset(), 0.0)
+    sequence = OrderSequence(checks_fences=True)
+    assert sequence.next_step(frozenset(), 0.0) is None
+    assert sequence.offer(5, frozenset({COPY}))
+    assert not sequence.offer(4, frozenset())
+    step = sequence.next_step(frozenset(), 0.0)
     assert (step.kind, step.copy, step.fence) == (OrderKind.LOAD, COPY, 5)
 
 
 def test_loads_go_before_unloads():
-    desk = OrderDesk(checks_fences=True)
-    desk.offer(1, frozenset({COPY}))
-    assert desk.next_step(frozenset({OTHER}), 0.0).kind is OrderKind.LOAD
-    assert desk.next_step(frozenset({OTHER, COPY}), 0.0).kind is OrderKind.UNLOAD
+    sequence = OrderSequence(checks_fences=True)
+    sequence.offer(1, frozenset({COPY}))
+    assert sequence.next_step(frozenset({OTHER}), 0.0).kind is OrderKind.LOAD
+    assert sequence.next_step(frozenset({OTHER, COPY}), 0.0).kind is OrderKind.UNLOAD
 
 
 @pytest.mark.parametrize(("checks", "held_back"), [(True, False), (False, True)])
 def test_an_order_in_doubt_is_waited_out_where_fences_are_not_checked(
     checks, held_back
 ):
-    desk = OrderDesk(checks_fences=checks, doubt_s=5.0)
-    desk.offer(1, frozenset({COPY}))
-    desk.record_lost(desk.next_step(frozenset(), 0.0), 0.0)
-    desk.offer(2, frozenset())
-    contrary = desk.next_step(frozenset({COPY}), 1.0)
+    sequence = OrderSequence(checks_fences=checks, doubt_s=5.0)
+    sequence.offer(1, frozenset({COPY}))
+    sequence.record_lost(sequence.next_step(frozenset(), 0.0), 0.0)
+    sequence.offer(2, frozenset())
+    contrary = sequence.next_step(frozenset({COPY}), 1.0)
     assert (contrary is None) is held_back
-    assert desk.next_step(frozenset({COPY}), 6.0).kind is OrderKind.UNLOAD
+    assert sequence.next_step(frozenset({COPY}), 6.0).kind is OrderKind.UNLOAD
