--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_http.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_http.py
@@ -23,17 +23,16 @@
     RequestId,
     WorkspaceId,
 )
+from leadford_server.pipelines.entry._admitting import NewRequest
 from leadford_server.pipelines.entry._answers import (
     AnswerReader,
     Problem,
     problem_document,
 )
 from leadford_server.pipelines.entry._body import read_body
+from leadford_server.pipelines.entry._locator import Locator, parse_locator
 from leadford_server.pipelines.entry._requests import (
-    Locator,
-    NewRequest,
     RequestTable,
-    parse_locator,
 )
 from leadford_server.pipelines.entry._run import RequestRun
 from leadford_server.pipelines.entry._services import EntryServices
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_requests.py
@@ -7,10 +7,8 @@
 """
 
 import asyncio
-import re
 from collections import OrderedDict
 
-import msgspec
 from returns.result import Failure, Result, Success
 
 from leadford.common import (
@@ -22,7 +20,6 @@
     WorkspaceId,
 )
 from leadford.events import Event
-from leadford.pipelines.admission import PoolForecast, StageNeed, forecast_pool
 from leadford.pipelines.claims import request_id_for_key
 from leadford.pipelines.config import PipelineConfig
 from leadford.pipelines.execution import RequestExecution
@@ -34,9 +31,15 @@
     REQUESTS_TOTAL,
     STRAYS_TOTAL,
 )
+from leadford_server.pipelines.entry._admitting import (
+    NewRequest,
+    Refusal,
+    RequestAdmission,
+)
 from leadford_server.pipelines.entry._answers import Answer, Problem
 from leadford_server.pipelines.entry._body import RequestBody
 from leadford_server.pipelines.entry._deliveries import PeerLost
+from leadford_server.pipelines.entry._locator import Locator, note_from_locator
 from leadford_server.pipelines.entry._run import RequestRun, make_request_id
 from leadford_server.pipelines.entry._services import EntryServices
 from leadford_server.pipelines.entry._trail import Trail, TrailStep
@@ -53,47 +56,6 @@
 # Seconds that a request has which is taken over, since its note holds no deadline;
 # commit 7457c0a, not measured.
 RESUME_S = 30.0
-# The least urgent priority.
-PRIORITY_LAST = 9
-LOCATOR = re.compile(r"^([a-z0-9][a-z0-9_.-]{0,62})/(\d{1,6}):(\d{1,9}|end)$")
-
-
-class NewRequest(msgspec.Struct, frozen=True):
-    """Hold a checked request of a caller.
-
-    Units: deadline_ms counts from now.
-    """
-
-    pipeline_id: PipelineId
-    workspace: WorkspaceId
-    body: RequestBody
-    deadline_ms: float
-    key: str = ""
-
-
-class Refusal(msgspec.Struct, frozen=True):
-    """Say why a request was not begun here."""
-
-    request_id: RequestId
-    problem: Problem
-    outcome: Outcome = Outcome.NOT_RUN
-
-
-class Locator(msgspec.Struct, frozen=True):
-    """Say where a stream runs and how much of it the caller has."""
-
-    endpoint_id: EndpointId
-    attempt: int
-    sequence: int
-
-
-def parse_locator(text: str) -> Locator | None:
-    """Return the locator in a `Last-Event-ID`, or None."""
-    match = LOCATOR.match(text)
-    if match is None:
-        return None
-    sequence = 1 << 30 if match[3] == "end" else int(match[3])
-    return Locator(EndpointId(match[1]), int(match[2]), sequence)
 
 
 class RequestTable:
@@ -101,6 +63,7 @@
 
     def __init__(self, *, services: EntryServices) -> None:
         self.services = services
+        self.admission_ = RequestAdmission(services=services)
         self.runs_by_id_: dict[RequestId, RequestRun] = {}
         self.ended_by_id_: OrderedDict[RequestId, RequestRun] = OrderedDict()
         self.refused_by_id_: OrderedDict[RequestId, Trail] = OrderedDict()
@@ -125,7 +88,13 @@
                 return self._join(known, new)
         else:
             request_id = make_request_id(services.secure_random)
-        refusal = self._refuse_early(request_id, pipeline, new)
+        refusal = self.admission_.refusal(
+            request_id,
+            pipeline,
+            new,
+            live=len(self.runs_by_id_),
+            draining=self.draining_,
+        )
         if refusal is not None:
             self._count(new.pipeline_id, Outcome.NOT_RUN, refusal.problem.reason)
             self._remember_refusal(refusal)
@@ -165,47 +134,6 @@
         problem = Problem(422, RefusalReason.BAD_REQUEST, text)
         return Failure(Refusal(run.request_id, problem))
 
-    def _refuse_early(
-        self, request_id: RequestId, pipeline: PipelineConfig, new: NewRequest
-    ) -> Refusal | None:
-        if self.draining_:
-            return Refusal(
-                request_id, Problem(503, RefusalReason.DRAINING, retry_after_ms=1000.0)
-            )
-        if pipeline.paused:
-            return Refusal(
-                request_id, Problem(503, RefusalReason.PAUSED, retry_after_ms=30_000.0)
-            )
-        if not self.services.config_.tuning.admission:
-            return None
-        forecasts: list[PoolForecast | None] = []
-        directory = self.services.directory
-        priority = self._priority(pipeline, new.workspace)
-        if self.services.ledger_.is_entitled(new.workspace):
-            # Its turn comes before the backlog of others in its class.
-            priority = max(0, priority - 1)
-        now = self.services.clock()
-        for stage in pipeline.stages:
-            need = StageNeed.from_config(stage)
-            candidates = directory.candidates(stage.pool, set(), stage.model)
-            forecasts.append(forecast_pool(candidates, need, priority, now))
-        verdict = self.services.admission_.decide(
-            forecasts, remaining_ms=new.deadline_ms, live=len(self.runs_by_id_)
-        )
-        if verdict.reason is None:
-            return None
-        stages = ", ".join(
-            f"{stage.name} {forecast.wait_ms:.0f}+{forecast.service_ms:.0f}"
-            for stage, forecast in zip(pipeline.stages, forecasts, strict=True)
-            if forecast is not None
-        )
-        text = (
-            f"predicted {verdict.predicted_ms:.0f} ms of {new.deadline_ms:.0f} "
-            f"(wait+service: {stages})"
-        )
-        problem = Problem(503, verdict.reason, text, verdict.retry_after_ms)
-        return Refusal(request_id, problem)
-
     def _make_run(
         self, request_id: RequestId, pipeline: PipelineConfig, new: NewRequest
     ) -> RequestRun:
@@ -220,16 +148,11 @@
         return RequestRun(
             execution=execution,
             body=new.body,
-            priority=self._priority(pipeline, new.workspace),
+            priority=self.admission_.priority(pipeline, new.workspace),
             keyed=bool(new.key),
             services=services,
         )
 
-    def _priority(self, pipeline: PipelineConfig, workspace_id: WorkspaceId) -> int:
-        workspace = self.services.config_.workspaces.get(workspace_id)
-        offset = workspace.priority_offset if workspace is not None else 0
-        return min(PRIORITY_LAST, max(0, pipeline.priority + offset))
-
     def _start(self, run: RequestRun, work: object) -> None:
         self.runs_by_id_[run.request_id] = run
         self.services.ledger_.record_began(run.execution.workspace)
@@ -317,7 +240,9 @@
         if known is not None:
             return known if known.execution.workspace == workspace else None
         if note is None and locator is not None:
-            note = self._note_from(request_id, workspace, locator)
+            note = note_from_locator(
+                self.services.config_, request_id, workspace, locator
+            )
         if note is None or note.workspace != workspace:
             return None
         pipeline = self.services.config_.pipelines.get(note.pipeline)
@@ -337,31 +262,6 @@
         run.answer_.end(await run.resume(note))
         self._end(run)
 
-    def _note_from(
-        self, request_id: RequestId, workspace: WorkspaceId, locator: Locator
-    ) -> Note | None:
-        """Build the note that its holders lost, from what the caller remembers."""
-        endpoint = self.services.config_.endpoints.get(locator.endpoint_id)
-        if endpoint is None:
-            return None
-        for pipeline_id, pipeline in self.services.config_.pipelines.items():
-            last = pipeline.stages[-1]
-            if last.pool != endpoint.pool or not last.expected_tokens:
-                continue
-            return Note(
-                request_id=request_id,
-                workspace=workspace,
-                pipeline=pipeline_id,
-                stage=last.name,
-                attempt=locator.attempt,
-                endpoint_id=locator.endpoint_id,
-                final=True,
-                stream=True,
-                entry_id="",
-                body_digest="",
-            )
-        return None
-
     def peer_message(self, message: Message) -> bool:
         """Hand a message to its request; return whether it was one for a request."""
         if isinstance(message, Tokens):
