--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
@@ -8,8 +8,6 @@
 from collections.abc import Callable
 from random import Random
 
-import msgspec
-
 from leadford.common import EndpointId, HallId, HostId, PoolId
 from leadford.events import Event
 from leadford.pipelines.config import EndpointConfig, FleetConfig
@@ -24,7 +22,8 @@
 )
 from leadford.protocol import Load
 from leadford_server.logs import EventLog
-from leadford_server.peers import Dialer, Identity, PeerConnection, PeerHandler
+from leadford_server.peers import Dialer, PeerConnection
+from leadford_server.pipelines.entry._dialers import DialerFactory
 
 # Milliseconds one way to another data hall; commit 7457c0a, not measured.
 OTHER_HALL_MS = 0.5
@@ -62,30 +61,6 @@
         self.links_by_id_: dict[EndpointId, EndpointLink] = {}
 
 
-class DialerFactory(msgspec.Struct, frozen=True):
-    """Hold what every outgoing connection of the process shares."""
-
-    identity: Identity
-    handler: PeerHandler
-    log: EventLog
-    random: Random
-    config_version: Callable[[], int]
-
-    def make(self, address: str, unreachable: Callable[[], None]) -> Dialer:
-        """Return a started dialer."""
-        dialer = Dialer(
-            address=address,
-            identity=self.identity,
-            handler=self.handler,
-            log=self.log,
-            random=self.random,
-            config_version=self.config_version,
-            unreachable=unreachable,
-        )
-        dialer.start()
-        return dialer
-
-
 class EndpointDirectory:
     """Hold a bounded subset of each pool's endpoints, as the configuration says."""
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_entries.py
@@ -22,7 +22,7 @@
 from leadford.pipelines.membership import choose_relays
 from leadford.protocol import Message, Note, NoteAnswer, NoteRequest
 from leadford_server.peers import Dialer, PeerConnection
-from leadford_server.pipelines.entry._directory import DialerFactory
+from leadford_server.pipelines.entry._dialers import DialerFactory
 
 # Notes kept for other entries; commit 7457c0a, not measured.
 NOTES_KEPT = 50_000
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_fanout.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_fanout.py
@@ -15,11 +15,8 @@
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.entry._directory import EndpointDirectory
 from leadford_server.pipelines.entry._entries import EntryPeers
-from leadford_server.pipelines.entry._tables import (
-    LocalTables,
-    decode_rows,
-    encode_rows,
-)
+from leadford_server.pipelines.entry._merging import decode_rows, encode_rows
+from leadford_server.pipelines.entry._tables import LocalTables
 
 # Seconds for which entries are awaited; an entry awaits its agents for less, so that
 # its own answer is in time. Commit cb7d795, not measured.
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_operators.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_operators.py
@@ -33,11 +33,11 @@
     plan_from_config,
 )
 from leadford_server.pipelines.entry._fanout import FanOut
+from leadford_server.pipelines.entry._merging import merge_rows
 from leadford_server.pipelines.entry._tables import (
     CONFIGURED_TABLES,
     audit_table,
     configured_table,
-    merge_rows,
 )
 
 # Seconds for which a change is awaited in every process, and between looks; commit
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
@@ -23,7 +23,8 @@
 from leadford_server.pipelines.config import ConfigFollower
 from leadford_server.pipelines.entry._changes import ChangeService
 from leadford_server.pipelines.entry._claims import ClaimService
-from leadford_server.pipelines.entry._directory import DialerFactory, EndpointDirectory
+from leadford_server.pipelines.entry._dialers import DialerFactory
+from leadford_server.pipelines.entry._directory import EndpointDirectory
 from leadford_server.pipelines.entry._entries import EntryPeers
 from leadford_server.pipelines.entry._fanout import FanOut
 from leadford_server.pipelines.entry._hosts import HostPoller
