--- a/packages/leadford-standins/src/leadford_standins/demo.py
+++ b/packages/leadford-standins/src/leadford_standins/demo.py
@@ -10,6 +10,7 @@
     "damier": "damier_club_night",
     "association": "admissions_offer_deadline",
 }
+# Seconds of each trace, and the size of the fleets; choices of the demonstration.
 DURATION_S = 15.0
 ENTRIES = 3
 ENGINES = 4
--- a/packages/leadford-standins/src/leadford_standins/endpoints/_engine.py
+++ b/packages/leadford-standins/src/leadford_standins/endpoints/_engine.py
@@ -17,8 +17,11 @@
 from leadford_standins.endpoints._texts import expected_tokens
 from leadford_standins.faults import ControlHandler, FaultState, FaultyHandler
 
+# Streams that are kept after their end, to be resumed.
 FINISHED_KEPT = 256
+# Cache events of which one is left out, as engines lose some.
 CACHE_EVENT_GAP_EVERY = 7
+# Seconds by which the load page lags.
 LOAD_LAG_S = 0.25
 
 
--- a/packages/leadford-standins/src/leadford_standins/endpoints/_records.py
+++ b/packages/leadford-standins/src/leadford_standins/endpoints/_records.py
@@ -1,7 +1,11 @@
-"""Record every execution that a stand-in performed."""
+"""Record every execution that a stand-in performed.
+
+Read by tests and replays, which hold against it what callers were told.
+"""
 
 import msgspec
 
+# Executions that are recorded; further ones are not.
 RECORDS_MAX = 200_000
 
 
--- a/packages/leadford-standins/src/leadford_standins/endpoints/_service.py
+++ b/packages/leadford-standins/src/leadford_standins/endpoints/_service.py
@@ -1,4 +1,8 @@
-"""Stand in for a plain service or a pool of encoders, retrievers or rerankers."""
+"""Stand in for a plain service or a pool of encoders, retrievers or rerankers.
+
+Met by the agents of leadford's own interface; the endpoints of the platform's wire are
+`wire/_endpoints`.
+"""
 
 import asyncio
 import time
--- a/packages/leadford-standins/src/leadford_standins/faults.py
+++ b/packages/leadford-standins/src/leadford_standins/faults.py
@@ -1,4 +1,8 @@
-"""Hold the faults that a stand-in injects, set through its control page."""
+"""Hold the faults that a stand-in injects, set through its control page.
+
+Shared by the stand-ins that run as processes of a loopback fleet (`fleet`). Those of
+the platform's wire (`wire`) run inside the test and are told directly.
+"""
 
 import asyncio
 
--- a/packages/leadford-standins/src/leadford_standins/fleet/_layout.py
+++ b/packages/leadford-standins/src/leadford_standins/fleet/_layout.py
@@ -1,4 +1,8 @@
-"""Describe a fleet: its entries, endpoints, stand-ins and configuration."""
+"""Describe a fleet: its entries, endpoints, stand-ins and configuration.
+
+What `_presets` builds, `_serve` and `_processes` read, and a file hands to stand-in
+processes. Ports are filled in when the fleet starts.
+"""
 
 import hashlib
 from typing import Any
--- a/packages/leadford-standins/src/leadford_standins/fleet/_processes.py
+++ b/packages/leadford-standins/src/leadford_standins/fleet/_processes.py
@@ -27,8 +27,10 @@
 from leadford_standins.fleet._layout import LOOPBACK, FleetSpec, api_key
 from leadford_standins.fleet._serve import ENDPOINT_PARTS
 
+# Ports that are drawn from, below those that the system hands out by itself.
 PORTS_FROM = 20_000
 PORTS_TO = 32_000
+# Seconds for a fleet to be ready, and for its processes to stop; not measured.
 READY_S = 30.0
 STOP_S = 20.0
 SECRET = "stand-in secret of a loopback fleet"
@@ -59,6 +61,7 @@
             try:
                 probe.bind((LOOPBACK, port))
             except OSError:
+                # Somebody listens there: another port is drawn.
                 continue
         ports.append(port)
     return ports
--- a/packages/leadford-standins/src/leadford_standins/fleet/_serve.py
+++ b/packages/leadford-standins/src/leadford_standins/fleet/_serve.py
@@ -1,4 +1,8 @@
-"""Serve the stand-ins of a fleet in one process."""
+"""Serve the stand-ins of a fleet in one process.
+
+Run by `leadford_standins serve`; one process serves store and host list, others a part
+of the endpoints each.
+"""
 
 import asyncio
 from random import Random
--- a/packages/leadford-standins/src/leadford_standins/hosts.py
+++ b/packages/leadford-standins/src/leadford_standins/hosts.py
@@ -1,4 +1,7 @@
-"""Stand in for the platform's host list, which lags behind what is so."""
+"""Stand in for the platform's host list, which lags behind what is so.
+
+Met by the entries of leadford's own interface (`leadford_server.pipelines`).
+"""
 
 import time
 
@@ -7,6 +10,7 @@
 
 from leadford_standins.faults import ControlHandler, FaultState, FaultyHandler
 
+# Seconds by which the list lags; a choice of this stand-in.
 LAG_S = 3.0
 
 
--- a/packages/leadford-standins/src/leadford_standins/main.py
+++ b/packages/leadford-standins/src/leadford_standins/main.py
@@ -1,4 +1,7 @@
-"""Run stand-ins, a whole loopback fleet, or the demonstration."""
+"""Run stand-ins, a whole loopback fleet, or the demonstration.
+
+The commands behind `make up` and `make demo`; a fleet starts `serve` for its stand-ins.
+"""
 
 import asyncio
 import signal
--- a/packages/leadford-standins/src/leadford_standins/store/_objects.py
+++ b/packages/leadford-standins/src/leadford_standins/store/_objects.py
@@ -1,10 +1,14 @@
-"""Hold versioned objects and count calls."""
+"""Hold versioned objects and count calls.
+
+The state of the object API's stand-in; `_server` speaks its protocol.
+"""
 
 import asyncio
 from collections import defaultdict
 
 import msgspec
 
+# Bytes of an object that the API takes.
 VALUE_BYTES_MAX = 1024 * 1024
 
 
@@ -75,6 +79,7 @@
         try:
             await asyncio.wait_for(event.wait(), timeout_s)
         except TimeoutError:
+            # Nothing changed in time: the caller sees the version it has.
             pass
         finally:
             self.calls_.waiting -= 1
--- a/packages/leadford-standins/src/leadford_standins/store/_server.py
+++ b/packages/leadford-standins/src/leadford_standins/store/_server.py
@@ -13,8 +13,10 @@
 from leadford_standins.faults import ControlHandler, FaultState, FaultyHandler
 from leadford_standins.store._objects import VALUE_BYTES_MAX, ObjectTable
 
+# Calls a second that the stand-in takes before it refuses; choices of this stand-in.
 WRITES_PER_S = 100.0
 READS_PER_S = 2000.0
+# Seconds for which a watch is held at most.
 WATCH_MAX_S = 60.0
 
 
--- a/packages/leadford-standins/src/leadford_standins/wire/_calm.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_calm.py
@@ -1,4 +1,8 @@
-"""Show a calm stretch on the platform's wire, from callers to batched stages."""
+"""Show a calm stretch on the platform's wire, from callers to batched stages.
+
+A part of the demonstration: nothing fails, so every answer must be 200 and none
+doubled.
+"""
 
 import asyncio
 from collections import Counter
@@ -7,6 +11,7 @@
 from leadford_standins.wire._deployment import Deployment
 
 ROUTES = ("safe", "unsafe", "resumed", "once")
+# Requests a second, seconds and entries; choices of the demonstration.
 REQUESTS_PER_S = 20.0
 DURATION_S = 10.0
 ENTRIES = 2
--- a/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
@@ -1,4 +1,8 @@
-"""Run a small deployment of the platform on loopback: store, endpoints, entries."""
+"""Run a small deployment of the platform on loopback: store, endpoints, entries.
+
+All in one event loop, entries included; tests of `leadford_standins.wire` and the
+demonstration use it.
+"""
 
 import asyncio
 import socket
@@ -22,6 +26,7 @@
 
 HOST = "rooms.example"
 KEY = "key-1"
+# Seconds for the entries to be ready, and between looks; choices of the tests.
 READY_S = 5.0
 STEP_S = 0.02
 
--- a/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
@@ -1,4 +1,8 @@
-"""Stand in for plain endpoints, batched stages and model engines."""
+"""Stand in for plain endpoints, batched stages and model engines.
+
+Met by the forwarding entry on the platform's wire. Each keeps what ran, and goes wrong
+as `Misbehaviour` says, for the requests that a test names beforehand.
+"""
 
 import asyncio
 import itertools
--- a/packages/leadford-standins/src/leadford_standins/wire/_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_store.py
@@ -1,4 +1,8 @@
-"""Stand in for the platform's metadata store: objects, lists, watches, faults."""
+"""Stand in for the platform's metadata store: objects, lists, watches, faults.
+
+Met by the forwarding entry through `platform/`; the object API of leadford's own
+interface is another protocol, stood in for by `leadford_standins.store`.
+"""
 
 import asyncio
 import json
@@ -7,7 +11,9 @@
 
 from tornado import httpserver, web
 
+# Changes that a watch can be caught up with; older revisions are gone.
 HISTORY_EVENTS = 200
+# Seconds between looks whether watches are still to say nothing.
 DEAF_CHECK_S = 30.0
 
 
