--- a/packages/leadford-cli/src/leadford_cli/main.py
+++ b/packages/leadford-cli/src/leadford_cli/main.py
@@ -1,4 +1,8 @@
-"""Parse the command line of the operators' tool."""
+"""Parse the command line of the operators' tool.
+
+`leadford` talks to leadford's own interface; with the entry on the users' platform it
+has nothing to do. Each command imports what it needs when it runs.
+"""
 
 import os
 import sys
@@ -11,6 +15,7 @@
 
 from leadford.pipelines.config import FleetConfig, config_from_document
 
+# Exit statuses: a stated outcome was missed; something was wrong with the input.
 EXIT_MISSED = 1
 EXIT_FAULTS = 2
 
--- a/packages/leadford-cli/src/leadford_cli/operators/_client.py
+++ b/packages/leadford-cli/src/leadford_cli/operators/_client.py
@@ -1,4 +1,8 @@
-"""Call the operators' pages of the entries."""
+"""Call the operators' pages of the entries.
+
+Used by the commands of `leadford`. An answer that leaves open what happened is asked
+for again at the next entry with the same command id.
+"""
 
 import json
 import secrets
@@ -12,7 +16,9 @@
 
 from leadford_server.web import NO_ANSWER, fetch
 
+# Seconds for a call, more than an entry awaits a change (12 s); not measured.
 TIMEOUT_S = 30.0
+# Statuses after which the next entry is asked.
 UNSETTLED = (502, 503, 504, NO_ANSWER)
 
 
--- a/packages/leadford-cli/src/leadford_cli/operators/_output.py
+++ b/packages/leadford-cli/src/leadford_cli/operators/_output.py
@@ -1,4 +1,7 @@
-"""Print answers as tables or as JSON."""
+"""Print answers as tables or as JSON.
+
+What an answer holds is decided by the entry (`leadford_server.pipelines.entry`).
+"""
 
 import json
 from datetime import UTC, datetime
--- a/packages/leadford-cli/src/leadford_cli/plots/_report.py
+++ b/packages/leadford-cli/src/leadford_cli/plots/_report.py
@@ -1,4 +1,7 @@
-"""Draw attainment, what was refused, and cost of a replay, with faults marked."""
+"""Draw attainment, what was refused, and cost of a replay, with faults marked.
+
+Reads the report that `leadford replay` wrote.
+"""
 
 from pathlib import Path
 from typing import Any
--- a/packages/leadford-cli/src/leadford_cli/replay/_caller.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_caller.py
@@ -1,4 +1,8 @@
-"""Behave as a caller does: send, read, come back after a broken connection."""
+"""Behave as a caller does: send, read, come back after a broken connection.
+
+It records what the caller was told, and judges nothing (`_check`). It comes back with
+the request's id, or with the same key, at another entry.
+"""
 
 import asyncio
 import time
@@ -9,7 +13,9 @@
 from leadford_cli.replay._trace import TraceRequest
 from leadford_server.web import NO_ANSWER, fetch
 
+# Connections that a caller makes for a request; a choice of this tool.
 TRIES_MAX = 4
+# Seconds after its deadline for which a caller still reads; a choice of this tool.
 OVERTIME_S = 10.0
 
 
--- a/packages/leadford-cli/src/leadford_cli/replay/_check.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_check.py
@@ -1,4 +1,7 @@
-"""Find violations by comparing callers' records with the stand-ins' records."""
+"""Find violations by comparing callers' records with the stand-ins' records.
+
+The promises that are checked stand in README: lost, doubled, crossed, not-run, unknown.
+"""
 
 from collections import Counter
 
--- a/packages/leadford-cli/src/leadford_cli/replay/_generate.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_generate.py
@@ -1,4 +1,7 @@
-"""Make the shipped traces from a seed."""
+"""Make the shipped traces from a seed.
+
+The same seed gives the same trace. docs/measurements says what each was used for.
+"""
 
 from collections.abc import Callable
 from random import Random
--- a/packages/leadford-cli/src/leadford_cli/replay/_report.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_report.py
@@ -1,4 +1,8 @@
-"""Sum up a replay and hold it against the stated outcomes."""
+"""Sum up a replay and hold it against the stated outcomes.
+
+Outcomes stand in a file beside the trace (`OutcomeBounds`); a replay that misses one
+ends with status 1.
+"""
 
 from collections import Counter, defaultdict
 
--- a/packages/leadford-cli/src/leadford_cli/replay/_runner.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_runner.py
@@ -1,4 +1,8 @@
-"""Replay a trace: send each request at its moment, inject each fault at its."""
+"""Replay a trace: send each request at its moment, inject each fault at its.
+
+Acts on the processes of a stand-in fleet that it started or is told of; collects the
+records of callers and stand-ins for `_report`.
+"""
 
 import asyncio
 import os
@@ -17,7 +21,9 @@
 from leadford_standins.endpoints import ExecutionRecord
 from leadford_standins.fleet import FleetFile
 
+# Seconds after the last answer in which stand-ins write their records; not measured.
 SETTLE_S = 0.5
+# Calls at once; not measured.
 CLIENTS_MAX = 2000
 
 _SIGNAL_BY_ACTION = {
--- a/packages/leadford-cli/src/leadford_cli/replay/_trace.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_trace.py
@@ -1,4 +1,7 @@
-"""Read and write traces: one JSON object a line, a header first."""
+"""Read and write traces: one JSON object a line, a header first.
+
+The files in `traces/` have this form, and `leadford replay` takes any other.
+"""
 
 import json
 from pathlib import Path
@@ -7,6 +10,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
+# Bytes of a line that are read.
 LINE_BYTES_MAX = 64 * 1024
 WORDS = ("rook", "file", "open", "plan", "king", "side", "pawn", "chain", "tempo")
 
