--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
@@ -20,8 +20,10 @@
 
 # Seconds for a connection to the endpoint beside the agent; not measured.
 CONNECT_S = 1.0
-# Times that a broken stream is resumed; commit 7457c0a, not measured.
+# Times that a broken stream is resumed, and seconds before each; commit 7457c0a, not
+# measured.
 RESUMES_MAX = 2
+RESUME_WAIT_S = 0.05
 # Bytes of a result that are accepted; not measured.
 RESULT_BYTES_MAX = 4 * 1024 * 1024
 
@@ -221,7 +223,7 @@
             if reader.finish_reason_ or reader.error_ or not reader.received_:
                 break
             reader.rest_ = b""
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(RESUME_WAIT_S)
             url = f"{self.url}/v1/completions/{key}?after={reader.received_}"
             error = await self._stream(HTTPRequest(url), reader, timeout_s)
         return self._outcome(reader, error)
--- a/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
@@ -24,8 +24,9 @@
 # Names of the stored objects.
 HEAD_NAME = "config/head"
 CHUNK_PREFIX = "config/chunks/"
-# Seconds for which a peer is awaited, and three times that for chunks; not measured.
+# Seconds for which a peer is awaited for a head, and for all chunks; not measured.
 PEER_ANSWER_S = 1.0
+PEER_CHUNKS_S = 3.0
 # Chunks that are read from the store at once; not measured.
 CHUNKS_AT_ONCE = 8
 
@@ -111,7 +112,7 @@
         self.wanted_ = set(keys)
         self.peer.send(ChunkRequest(keys))
         try:
-            await asyncio.wait_for(self.all_here_.wait(), PEER_ANSWER_S * 3)
+            await asyncio.wait_for(self.all_here_.wait(), PEER_CHUNKS_S)
         except TimeoutError:
             return Failure("peer sent only part of the chunks")
         return Success(self.data_by_key_)
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_dialers.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_dialers.py
@@ -1,4 +1,7 @@
-"""Make the connections that an entry opens to agents and other entries."""
+"""Make the connections that an entry opens to agents and other entries.
+
+Who is connected to is decided by `_directory` and `_entries`.
+"""
 
 from collections.abc import Callable
 from random import Random
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_directory.py
@@ -27,6 +27,9 @@
 
 # Milliseconds one way to another data hall; commit 7457c0a, not measured.
 OTHER_HALL_MS = 0.5
+# Part of the choices that fall on an endpoint under probation while others are there;
+# not measured.
+PROBE_PART = 0.2
 
 _EVENT_BY_STATE = {
     EndpointState.EJECTED: Event.ENDPOINT_EJECTED,
@@ -206,7 +209,7 @@
                 continue
             admitted.append(link.view)
         # A probe rides on ordinary work, one at a time and only now and then.
-        if probing and (not admitted or self.random.random() < 0.2):
+        if probing and (not admitted or self.random.random() < PROBE_PART):
             return probing
         return admitted or lost
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_locator.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_locator.py
@@ -12,6 +12,9 @@
 from leadford.pipelines.config import FleetConfig
 from leadford.protocol import Note
 
+# Stands for the end of a stream: beyond any sequence.
+SEQUENCE_END = 1 << 30
+# An endpoint, an attempt there, and a sequence or the end.
 LOCATOR = re.compile(r"^([a-z0-9][a-z0-9_.-]{0,62})/(\d{1,6}):(\d{1,9}|end)$")
 
 
@@ -28,7 +31,7 @@
     match = LOCATOR.match(text)
     if match is None:
         return None
-    sequence = 1 << 30 if match[3] == "end" else int(match[3])
+    sequence = SEQUENCE_END if match[3] == "end" else int(match[3])
     return Locator(EndpointId(match[1]), int(match[2]), sequence)
 
 
--- a/packages/leadford/src/leadford/common/_states.py
+++ b/packages/leadford/src/leadford/common/_states.py
@@ -1,4 +1,9 @@
-"""Hold the enumerations that several subpackages share."""
+"""Hold the enumerations that several subpackages share.
+
+They belong to leadford's own interface and stand in its answers, logs, metrics and
+configuration, so that their values stay. The entry on the users' platform has its own,
+beside its rules (`leadford.forwarding`).
+"""
 
 from enum import Enum
 
--- a/packages/leadford/src/leadford/pipelines/retries/_hedge.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_hedge.py
@@ -9,6 +9,8 @@
 # Winning attempts that are kept, and that are needed for a hedge; not measured.
 SAMPLES_KEPT = 200
 SAMPLES_NEEDED = 20
+# Times of the quantile after which an attempt gets a second one; not measured.
+SLOWER_TIMES = 1.5
 
 
 class HedgePolicy:
@@ -39,4 +41,4 @@
         if len(self.ordered_) < SAMPLES_NEEDED:
             return None
         index = min(len(self.ordered_) - 1, int(self.quantile * len(self.ordered_)))
-        return max(self.floor_ms, self.ordered_[index] * 1.5)
+        return max(self.floor_ms, self.ordered_[index] * SLOWER_TIMES)
