--- a/packages/leadford-standins/src/leadford_standins/wire/__init__.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/__init__.py
@@ -6,12 +6,12 @@
 from leadford_standins.wire._calm import run_calm
 from leadford_standins.wire._deployment import Deployment
 from leadford_standins.wire._endpoints import (
-    EngineStandIn,
     Misbehaviour,
     PlainStandIn,
     Run,
     StageStandIn,
 )
+from leadford_standins.wire._engines import EngineStandIn
 from leadford_standins.wire._scenarios import event_ids, play, runs_of
 from leadford_standins.wire._store import StoreFault, StoreStandIn
 
--- a/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
@@ -17,11 +17,8 @@
 from leadford_server.forwarding import ForwardBounds, ForwardProcess, ForwardSettings
 from leadford_server.settings import SocketAddress
 from leadford_server.web import fetch
-from leadford_standins.wire._endpoints import (
-    EngineStandIn,
-    PlainStandIn,
-    StageStandIn,
-)
+from leadford_standins.wire._endpoints import PlainStandIn, StageStandIn
+from leadford_standins.wire._engines import EngineStandIn
 from leadford_standins.wire._store import StoreStandIn
 
 HOST = "rooms.example"
--- a/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
@@ -1,4 +1,4 @@
-"""Stand in for plain endpoints, batched stages and model engines.
+"""Stand in for plain endpoints and batched stages (engines: `_engines`).
 
 Met by the forwarding entry on the platform's wire. Each keeps what ran, and goes wrong
 as `Misbehaviour` says, for the requests that a test names beforehand.
@@ -7,7 +7,7 @@
 import asyncio
 import itertools
 import json
-from collections import OrderedDict, deque
+from collections import deque
 from enum import Enum
 
 import msgspec
@@ -56,7 +56,7 @@
     def start(self) -> str:
         """Listen on loopback and return the address."""
         application = web.Application(
-            [(r".*", _EndpointHandler, {"endpoint": self})],
+            [(r".*", EndpointHandler, {"endpoint": self})],
             log_function=lambda handler: None,
         )
         self.server_ = httpserver.HTTPServer(application)
@@ -87,7 +87,7 @@
             "sequence": 1,
         }
 
-    async def serve(self, handler: "_EndpointHandler") -> None:
+    async def serve(self, handler: "EndpointHandler") -> None:
         """Run one request."""
         handler.record_run()
         await asyncio.sleep(self.work_s)
@@ -95,90 +95,7 @@
         handler.finish(body + b" " + handler.request.body)
 
 
-class KeptParts:
-    """Keep the parts of prompts that were read last, up to a memory.
-
-    A part counts as kept if every part before it in the prompt is kept as well.
-    """
-
-    def __init__(self, *, memory_tokens: int) -> None:
-        self.memory_tokens = memory_tokens
-        self.tokens_by_part_: OrderedDict[str, int] = OrderedDict()
-        self.read_tokens_ = 0
-        self.read_again_tokens_ = 0
-        self.ever_read_: set[str] = set()
-
-    def read(self, parts: list[tuple[str, int]]) -> None:
-        """Read a prompt; what is kept is not read again."""
-        is_kept = True
-        for part, tokens in parts:
-            is_kept = is_kept and part in self.tokens_by_part_
-            if not is_kept:
-                self.read_tokens_ += tokens
-                self.read_again_tokens_ += tokens * (part in self.ever_read_)
-            self.ever_read_.add(part)
-            self.tokens_by_part_[part] = tokens
-            self.tokens_by_part_.move_to_end(part)
-        while sum(self.tokens_by_part_.values()) > self.memory_tokens:
-            self.tokens_by_part_.popitem(last=False)
-
-
-def _prompt_parts(text: str) -> list[tuple[str, int]]:
-    pairs = [part.split(":") for part in text.split(",") if part]
-    return [(name, int(tokens)) for name, tokens in pairs]
-
-
-class EngineStandIn(PlainStandIn):
-    """Stream numbered events; go on after `Last-Event-Id`; fetch inputs first."""
-
-    def __init__(
-        self,
-        *,
-        events: int = 5,
-        wants_inputs: bool = True,
-        memory_tokens: int = 100_000,
-        makers: "list[StageStandIn] | None" = None,
-        **fields,
-    ) -> None:
-        super().__init__(**fields)
-        self.events = events
-        self.wants_inputs = wants_inputs
-        self.pause_s = 0.005
-        self.makers = makers or []
-        self.kept_ = KeptParts(memory_tokens=memory_tokens)
-
-    async def serve(self, handler: "_EndpointHandler") -> None:
-        """Run one stream."""
-        request = handler.request
-        if self.wants_inputs and not request.headers.get("X-Inputs"):
-            handler.refuse(400)
-            return
-        handles = [h for h in request.headers.get("X-Inputs", "").split(",") if h]
-        is_gone = handler.misbehaviour is Misbehaviour.GONE
-        if is_gone or not all(_is_held(handle, self.makers) for handle in handles):
-            handler.refuse(409)
-            return
-        handler.record_run()
-        self.kept_.read(_prompt_parts(request.headers.get("X-Prefix-Hash", "")))
-        first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        handler.set_header("Content-Type", "text/event-stream")
-        handler.set_header("X-Weight-Versions", "1")
-        for number in range(first, self.events + 1):
-            await asyncio.sleep(self.pause_s)
-            if handler.misbehaviour is Misbehaviour.CUT and number == first + 2:
-                handler.write(f"id: {number}\ndata: to".encode())
-                await handler.flush()
-                handler.drop()
-                return
-            if handler.misbehaviour is Misbehaviour.STALL and number == first + 2:
-                await asyncio.sleep(3_600)
-            text = f"id: {number}\ndata: token {number}\n\n"
-            handler.write(text.encode())
-            await handler.flush()
-        handler.finish()
-
-
-def _is_held(handle: str, makers: "list[StageStandIn]") -> bool:
+def is_held(handle: str, makers: "list[StageStandIn]") -> bool:
     """Tell whether a result lies at the endpoint that made it; any, without makers."""
     return not makers or any(handle in maker.results_ for maker in makers)
 
@@ -212,7 +129,7 @@
         self.items_: list[dict] = []
         self.calls_: list[int] = []
 
-    async def serve(self, handler: "_EndpointHandler") -> None:
+    async def serve(self, handler: "EndpointHandler") -> None:
         """Run one call or release results."""
         body = json.loads(handler.request.body)
         if handler.request.path.endswith("stage-free"):
@@ -239,7 +156,7 @@
     def _begin(self, item: dict, *, is_gone: bool) -> dict:
         """Fetch the inputs of a piece, take room for its result and make it."""
         inputs = item.get("inputs", [])
-        if is_gone or not all(_is_held(handle, self.makers) for handle in inputs):
+        if is_gone or not all(is_held(handle, self.makers) for handle in inputs):
             self.gone_ += 1
             return {"reason": "gone"}
         self.results_read_ += len(inputs)
@@ -253,7 +170,7 @@
         return {"kvHandle": handle}
 
 
-class _EndpointHandler(web.RequestHandler):
+class EndpointHandler(web.RequestHandler):
     """Serve one request as its endpoint does, or go wrong as told."""
 
     def initialize(self, endpoint: PlainStandIn) -> None:
