--- a/packages/leadford/src/leadford/pipelines/routing/_base.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_base.py
@@ -6,7 +6,7 @@
 """
 
 from random import Random
-from typing import Protocol
+from typing import Protocol, Self
 
 import msgspec
 
@@ -173,4 +173,16 @@
         """Return the chosen candidate, or None when there is none."""
 
 
+class DrawingPolicy:
+    """Hold the generator of a policy that draws, for ties or for candidates."""
+
+    def __init__(self, *, random: Random) -> None:
+        self.random = random
+
+    @classmethod
+    def from_config(cls, *, random: Random) -> Self:
+        """Build a policy that draws from a given generator."""
+        return cls(random=random)
+
+
 routing_policies: Registry[RoutingPolicy] = Registry("routing policy")
--- a/packages/leadford/src/leadford/pipelines/routing/_baselines.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_baselines.py
@@ -7,6 +7,7 @@
 from random import Random
 
 from leadford.pipelines.routing._base import (
+    DrawingPolicy,
     EndpointView,
     RoutingRequest,
     routing_policies,
@@ -43,17 +44,9 @@
 
 
 @routing_policies.register("least_loaded")
-class LeastLoaded:
+class LeastLoaded(DrawingPolicy):
     """Take the candidate with the fewest attempts queued and running."""
 
-    def __init__(self, *, random: Random) -> None:
-        self.random = random
-
-    @classmethod
-    def from_config(cls, *, random: Random) -> "LeastLoaded":
-        """Build a policy that breaks ties by a given generator."""
-        return cls(random=random)
-
     def choose(
         self, request: RoutingRequest, candidates: list[EndpointView], now: float
     ) -> EndpointView | None:
@@ -66,17 +59,9 @@
 
 
 @routing_policies.register("power_of_two")
-class PowerOfTwo:
+class PowerOfTwo(DrawingPolicy):
     """Take the less loaded of two candidates drawn at random."""
 
-    def __init__(self, *, random: Random) -> None:
-        self.random = random
-
-    @classmethod
-    def from_config(cls, *, random: Random) -> "PowerOfTwo":
-        """Build a policy that draws from a given generator."""
-        return cls(random=random)
-
     def choose(
         self, request: RoutingRequest, candidates: list[EndpointView], now: float
     ) -> EndpointView | None:
--- a/packages/leadford/src/leadford/pipelines/routing/_expected_finish.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_expected_finish.py
@@ -17,11 +17,11 @@
 
 from heapq import nlargest, nsmallest
 from operator import attrgetter
-from random import Random
 
 from leadford.common import Objective
 from leadford.pipelines.routing._base import (
     REPORT_HALF_LIFE_S,
+    DrawingPolicy,
     EndpointView,
     RoutingRequest,
     routing_policies,
@@ -55,20 +55,12 @@
 
 
 @routing_policies.register("expected_finish")
-class ExpectedFinish:
+class ExpectedFinish(DrawingPolicy):
     """Score each candidate by when the attempt would probably finish there.
 
     Units: a score is milliseconds from now.
     """
 
-    def __init__(self, *, random: Random) -> None:
-        self.random = random
-
-    @classmethod
-    def from_config(cls, *, random: Random) -> "ExpectedFinish":
-        """Build a policy that breaks near ties by a given generator."""
-        return cls(random=random)
-
     def choose(
         self, request: RoutingRequest, candidates: list[EndpointView], now: float
     ) -> EndpointView | None:
