--- a/packages/leadford/src/leadford/forwarding/admission/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Decide whether a request with stages begins, before anything is sent for it."""
+"""Decide whether to admit a request with stages, before anything is sent for it."""
 
 from leadford.forwarding.admission._decision import (
     AdmissionDecision,
--- a/packages/leadford/src/leadford/forwarding/admission/_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_decision.py
@@ -1,22 +1,27 @@
-"""Decide whether a request with stages begins, or is told when to come back.
-
-Called once for each such request, before anything is sent for it. The rule: a request
-is admitted if its answer is expected within a limit. Expected is what has passed, the
-longest path of its stages, the backlog of the stage that is the furthest behind (over
-all entries), the engine, and by how much such forecasts were too short lately.
-
-- For a newcomer the limit leaves what the path takes and a part of the rest of its aim,
-  the larger the more urgent it is; routes below the highest priority share one part.
-- A request that returns and can still be in time, counted from its first try, is
-  admitted while it can be answered within its aim: it has waited as it was told.
-- One that cannot be in time any more is admitted only while the queues are short: its
-  pieces go behind all others, and one that then starves was held for nothing.
-- None goes beyond a part of the time that the caller gave.
-
-What the caller is told stands in `leadford.forwarding.answers`; the order of match
-work in `leadford.forwarding.batching`. Admission of the own interface
-(`leadford.pipelines.admission`) is another rule: it compares predicted finishes of
-single endpoints with deadlines, and knows neither batches nor returns.
+"""Decide whether to admit a request with stages, or when its caller should retry.
+
+Called once for each such request, before anything is sent for it. A request is admitted
+if its expected response time is within a limit. The expected response time is the sum
+of the time already elapsed, the critical path of its stages, the backlog of the most
+delayed stage (over all entries), the engine's time to the first byte, and the recent
+forecast error of the route.
+
+- For a first try, the limit covers the critical path and a fraction of the slack, that
+  is, of the rest of the route's latency target (`aim_ms`). The fraction grows with the
+  urgency of the request; all routes below the highest priority have the same one.
+- A retry that can still meet the target, counted from its first try, is admitted if it
+  can be answered within the target, because its caller waited as told.
+- A retry that can no longer meet the target is admitted only while the queues are
+  short: its pieces are queued behind all others, and holding it is useless if it then
+  starves.
+- No limit exceeds a fixed fraction of the time that the caller allows.
+
+A retry is here a request that its caller sends again after a refusal.
+
+`leadford.forwarding.answers` decides the response to the caller, and
+`leadford.forwarding.batching` the order of the pieces. Admission in
+`leadford.pipelines.admission` follows a different rule: it compares the predicted
+completion on single endpoints with deadlines, without batches and caller retries.
 """
 
 from enum import Enum
@@ -31,42 +36,42 @@
     RetryReservation,
     RetryReservations,
 )
-from leadford.forwarding.admission._usual_wait import UsualWaits
+from leadford.forwarding.admission._usual_wait import CommonTimeouts
 from leadford.forwarding.batching import AdmittedBacklog
 from leadford.forwarding.routes import Route, RouteId, ServiceId
 
-# Part of its aim, less the path, that a backlog may take of a newcomer; for the most
-# urgent workspace, less a step for each priority, and the least for any.
-SPARE_PART_URGENT = 0.9
-SPARE_PART_STEP = 0.1
-SPARE_PART = 0.75
+# Fraction of the slack that the backlog may take from a first try on a route of the
+# highest priority: for the most urgent workspace, the reduction for each further step
+# of priority, and the minimum.
+SLACK_FRACTION_URGENT = 0.9
+SLACK_FRACTION_STEP = 0.1
+MIN_SLACK_FRACTION_URGENT = 0.75
 # The same for routes below the highest priority. Their pieces wait behind urgent ones,
-# and who is refused has to come back, wait and be served within the same aim: a queue
-# of half of what the path leaves serves as many, and leaves that time.
-SPARE_PART_LESS_URGENT = 0.5
-# The same for a request that cannot be in time any more: it is let in only while the
-# queues are short, because its pieces go behind all others.
-SPARE_PART_LATE = 0.3
-# Aims within which the answer to a request that returns must be expected: with more,
-# under lasting load everybody returns and is late.
-RETURN_AIMS = 1.0
-# Seconds by which an entry may hear of a refusal later than it was given, and by which
-# a first try lies before its refusal: a heartbeat and a little more.
-HEARD_LATE_S = 0.5
-# Part of the caller's time that no expected answer may exceed.
-DEADLINE_PART = 0.85
-# Part of the time that path and engine leave of the aim, which the backlog may still
-# fill when a refused request comes back.
-RETURN_PART = 0.55
-# Seconds. Nobody is told to come back sooner.
-RETRY_MIN_S = 0.25
-# Nobody is told to come back later than after the time left divided by this.
-RETRY_MOST_DIVISOR = 3.0
-# Part by which times to come back are spread at random.
-JITTER = 0.15
-# Part of the aim that a forecast may be corrected by, and the weight of the newest
-# error.
-ERROR_MOST_PART = 0.6
+# and a refused request has to be retried, queued and served within the same target. A
+# queue of half the slack serves as many requests and leaves time for that.
+SLACK_FRACTION_LESS_URGENT = 0.5
+# The same for a retry that can no longer meet its target: it is admitted only while
+# the queues are short, because its pieces are queued behind all others.
+SLACK_FRACTION_LATE = 0.3
+# Multiple of the target within which the answer to a retry must be expected. With a
+# larger one, every request is retried and late under sustained load.
+RETRY_AIM_FRACTION = 1.0
+# Delay with which an entry may learn of a refusal, and time by which a first try
+# precedes its refusal: slightly more than a heartbeat interval.
+REFUSAL_NEWS_DELAY_S = 0.5
+# Fraction of the time allowed by the caller that no expected response time may exceed.
+DEADLINE_FRACTION = 0.85
+# Fraction of the slack that the backlog may still take when a refused request is
+# retried.
+RETRY_SLACK_FRACTION = 0.55
+MIN_RETRY_AFTER_S = 0.25
+# The longest retry delay is the remaining time divided by this.
+MAX_RETRY_AFTER_DIVISOR = 3.0
+# Maximum fraction by which a retry delay is lengthened at random.
+JITTER_FRACTION = 0.15
+# Maximum correction of a forecast as a fraction of the target, and the weight of the
+# newest error.
+MAX_ERROR_FRACTION = 0.6
 ERROR_WEIGHT = 0.15
 
 
@@ -78,16 +83,16 @@
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True):
-    """Hold what admission has to know of one request.
+    """Describe one request for the admission decision.
 
-    `counts` are the pieces of each stage of the route, `priority` that of the workspace
-    where it has one. `fingerprint` tells whether two requests are the same one sent
-    again.
+    `counts` holds the number of pieces of each stage of the route. `priority` is the
+    priority of the workspace if it has one. A request that is sent again has the same
+    `fingerprint`.
 
-    Units: seconds. engine_s is what the service takes to the first byte, held_s the
-    time until one of its endpoints takes another request; elapsed_s and allowed_s count
-    from the caller's sending; asked_s is what the caller itself allows, None where it
-    does not say; now is a moment of the monotonic clock.
+    Units: seconds. engine_s is the time of the service to the first byte; held_s is the
+    time until one of its endpoints accepts another request; elapsed_s and allowed_s
+    count from when the caller sent the request; asked_s is the time that the caller
+    itself allows, None if it states none; now is a time of the monotonic clock.
     """
 
     route: Route
@@ -104,20 +109,21 @@
 
     @property
     def aim_s(self) -> float:
-        """Return within which time the route aims to answer."""
+        """Return the latency target of the route, or the allowed time without one."""
         aim_ms = self.route.aim_ms
         return aim_ms / 1_000.0 if aim_ms > 0 else self.allowed_s
 
 
 class AdmissionDecision(msgspec.Struct, frozen=True):
-    """Hold a verdict, the expected time of the answer, and when to come back.
+    """Hold a verdict, the expected response time and the retry delay.
 
-    `is_return` tells that the request came before a short while ago, `is_late` that it
-    cannot be in time any more, counted from its first try. `is_heard` tells that its
-    refusal is known here, and not only from what its caller announces.
+    `is_return` is true for a retry of a recently refused request, `is_late` for one
+    that can no longer meet its target, counted from its first try. `is_heard` is true
+    if the refusal is recorded here, not only inferred from the timeout that the caller
+    states.
 
-    Units: seconds; expected_s counts from the caller's sending, first_try_s is the time
-    between the first try and this one.
+    Units: seconds; expected_s counts from when the caller sent the request, first_try_s
+    is the time between the first try and this one.
     """
 
     verdict: Verdict
@@ -130,7 +136,7 @@
 
 
 class ForwardAdmission:
-    """Decide over requests with stages by the stage that is the furthest behind."""
+    """Admit or refuse requests with stages by the delay of their most delayed stage."""
 
     def __init__(
         self,
@@ -144,29 +150,29 @@
         self.random = random
         self.error_by_route_: dict[RouteId, Ewma] = {}
         self.first_tries_ = FirstTryTimes()
-        self.usual_waits_ = UsualWaits()
+        self.common_timeouts_ = CommonTimeouts()
 
     def decide(self, request: AdmissionRequest) -> AdmissionDecision:
-        """Return the verdict, and remember who is told to come back."""
+        """Return the verdict, and record a refused request as a reservation."""
         refused = self.reservations.refused(request.fingerprint, request.now)
-        announced_s = self._announced_s(request)
-        is_return = refused is not None or announced_s is not None
+        inferred_s = self._inferred_first_try_s(request)
+        is_return = refused is not None or inferred_s is not None
         first_try_s = self._first_try_s(request, refused)
-        if announced_s is not None:
-            first_try_s = announced_s
+        if inferred_s is not None:
+            first_try_s = inferred_s
         forecast = StageForecast(
             route=request.route,
             counts=request.counts,
             capacity_by_service=request.capacity_by_service,
         )
-        path_s = forecast.path_s()
-        least_s = request.elapsed_s + path_s + request.engine_s
-        is_late = is_return and first_try_s + least_s > request.aim_s
-        behind_s = forecast.delay_s(self.backlog, request.now, is_late=is_late)
-        behind_s = max(behind_s, request.held_s - path_s)
+        critical_path_s = forecast.critical_path_s()
+        min_answer_s = request.elapsed_s + critical_path_s + request.engine_s
+        is_late = is_return and first_try_s + min_answer_s > request.aim_s
+        queue_delay_s = forecast.delay_s(self.backlog, request.now, is_late=is_late)
+        queue_delay_s = max(queue_delay_s, request.held_s - critical_path_s)
         error_s = self._forecast_error(request.route).value_
-        expected_s = least_s + behind_s + error_s
-        if expected_s <= _limit_s(request, path_s, is_return, is_late):
+        expected_s = min_answer_s + queue_delay_s + error_s
+        if expected_s <= _limit_s(request, critical_path_s, is_return, is_late):
             return AdmissionDecision(
                 Verdict.ADMIT,
                 expected_s,
@@ -176,7 +182,7 @@
                 is_late,
                 refused is not None,
             )
-        wait_s = self._retry_after_s(request, path_s, behind_s)
+        wait_s = self._retry_after_s(request, critical_path_s, queue_delay_s)
         reservation = RetryReservation(
             request.fingerprint,
             request.now + wait_s,
@@ -193,40 +199,47 @@
             is_heard=refused is not None,
         )
 
-    def _announced_s(self, request: AdmissionRequest) -> float | None:
-        """Return the time since the first try, by what callers of the route announce.
+    def _inferred_first_try_s(self, request: AdmissionRequest) -> float | None:
+        """Infer the time since the first try from the timeouts that callers state.
 
-        None for a first try, and where callers announce nothing usual.
+        None for a first try, and if the callers of the route have no common timeout.
         """
         if request.asked_s is None:
             return None
         route_id = request.route.route_id
-        self.usual_waits_.record(route_id, request.asked_s)
-        return self.usual_waits_.since_s(route_id, request.asked_s)
+        self.common_timeouts_.record(route_id, request.asked_s)
+        return self.common_timeouts_.since_first_try_s(route_id, request.asked_s)
 
     def _first_try_s(
         self, request: AdmissionRequest, refused: RetryReservation | None
     ) -> float:
-        """Return the time since the first try of a request that returns."""
+        """Return the time since the first try of a retry, 0 where it is unknown."""
         if request.asked_s is None:
             return 0.0
         route_id = request.route.route_id
         self.first_tries_.record(route_id, request.asked_s)
         if refused is None:
             return 0.0
-        since_s = self.first_tries_.since_s(route_id, request.asked_s)
-        # Callers of one route need not all wait equally long.
-        return min(since_s, request.now - refused.known_at + HEARD_LATE_S)
+        since_first_try_s = self.first_tries_.since_first_try_s(
+            route_id, request.asked_s
+        )
+        # Callers of one route may state different timeouts.
+        return min(
+            since_first_try_s, request.now - refused.known_at + REFUSAL_NEWS_DELAY_S
+        )
 
     def record_answered(self, route: Route, expected_s: float, actual_s: float) -> None:
-        """Learn from the time that a request took against what was expected."""
+        """Update the forecast error of a route from an actual response time."""
         known = self._forecast_error(route)
         error_s = actual_s - (expected_s - known.value_)
         aim_s = route.aim_ms / 1_000.0
-        known.update(min(max(error_s, 0.0), ERROR_MOST_PART * aim_s))
+        known.update(min(max(error_s, 0.0), MAX_ERROR_FRACTION * aim_s))
 
     def _forecast_error(self, route: Route) -> Ewma:
-        """Return by how many seconds forecasts for a route were too short lately."""
+        """Return the average by which recent forecasts for a route were too short.
+
+        Units: seconds.
+        """
         error = self.error_by_route_.get(route.route_id)
         if error is None:
             error = Ewma(initial=0.0, weight=ERROR_WEIGHT)
@@ -234,42 +247,52 @@
         return error
 
     def _retry_after_s(
-        self, request: AdmissionRequest, path_s: float, behind_s: float
+        self, request: AdmissionRequest, critical_path_s: float, queue_delay_s: float
     ) -> float:
-        """Return when a refused request should come back, a little spread at random.
+        """Return the retry delay of a refused request, with random jitter.
 
-        One that cannot be in time whenever it comes back is told to come as late as it
-        may: what is before it has the most time to be done.
+        A request that cannot meet its target whenever it is retried gets the longest
+        delay, which leaves the most time to process the backlog.
         """
-        left_s = request.allowed_s - request.elapsed_s
-        most_s = max(RETRY_MIN_S, left_s / RETRY_MOST_DIVISOR)
-        spare_s = request.aim_s - path_s - request.engine_s
-        wait_s = behind_s - RETURN_PART * spare_s
-        if wait_s > spare_s:
-            return most_s
-        wait_s = max(RETRY_MIN_S, wait_s) * self.random.uniform(1.0, 1.0 + JITTER)
-        return min(wait_s, most_s)
+        remaining_s = request.allowed_s - request.elapsed_s
+        max_retry_after_s = max(
+            MIN_RETRY_AFTER_S, remaining_s / MAX_RETRY_AFTER_DIVISOR
+        )
+        slack_s = request.aim_s - critical_path_s - request.engine_s
+        wait_s = queue_delay_s - RETRY_SLACK_FRACTION * slack_s
+        if wait_s > slack_s:
+            return max_retry_after_s
+        wait_s = max(MIN_RETRY_AFTER_S, wait_s) * self.random.uniform(
+            1.0, 1.0 + JITTER_FRACTION
+        )
+        return min(wait_s, max_retry_after_s)
 
 
 def _limit_s(
-    request: AdmissionRequest, path_s: float, is_return: bool, is_late: bool
+    request: AdmissionRequest, critical_path_s: float, is_return: bool, is_late: bool
 ) -> float:
-    """Return until when the answer must be expected."""
+    """Return the longest expected response time with which a request is admitted."""
     if is_late:
-        return _spare_limit_s(request, path_s, SPARE_PART_LATE)
+        return _slack_limit_s(request, critical_path_s, SLACK_FRACTION_LATE)
     if is_return:
-        return min(DEADLINE_PART * request.allowed_s, RETURN_AIMS * request.aim_s)
+        return min(
+            DEADLINE_FRACTION * request.allowed_s, RETRY_AIM_FRACTION * request.aim_s
+        )
     if not request.route.is_urgent:
-        return _spare_limit_s(request, path_s, SPARE_PART_LESS_URGENT)
-    part = SPARE_PART_URGENT - SPARE_PART_STEP * request.priority
-    return _spare_limit_s(request, path_s, max(SPARE_PART, part))
+        return _slack_limit_s(request, critical_path_s, SLACK_FRACTION_LESS_URGENT)
+    fraction = SLACK_FRACTION_URGENT - SLACK_FRACTION_STEP * request.priority
+    return _slack_limit_s(
+        request, critical_path_s, max(MIN_SLACK_FRACTION_URGENT, fraction)
+    )
 
 
-def _spare_limit_s(request: AdmissionRequest, path_s: float, part: float) -> float:
-    """Return until when an answer must be expected whose backlog may take a part.
+def _slack_limit_s(
+    request: AdmissionRequest, critical_path_s: float, fraction: float
+) -> float:
+    """Return the limit if the backlog may take a fraction of the slack.
 
-    What the path itself takes is not to spare; a backlog may take a part of the rest.
+    The slack is the rest of the target after the minimum response time.
     """
-    least_s = request.elapsed_s + path_s + request.engine_s
-    limit_s = least_s + part * max(0.0, request.aim_s - least_s)
-    return min(limit_s, DEADLINE_PART * request.allowed_s)
+    min_answer_s = request.elapsed_s + critical_path_s + request.engine_s
+    limit_s = min_answer_s + fraction * max(0.0, request.aim_s - min_answer_s)
+    return min(limit_s, DEADLINE_FRACTION * request.allowed_s)
--- a/packages/leadford/src/leadford/forwarding/admission/_forecast.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_forecast.py
@@ -1,7 +1,8 @@
-"""Forecast how long the stages of a request take, with and without what is before it.
+"""Forecast how long the stages of a request take, with and without the backlog.
 
-Asked by admission. It decides nothing: times of calls come from the configuration, the
-pieces before a request from the admitted backlog of all entries.
+Used by admission, and decides nothing itself. Call durations come from the
+configuration, and the pieces ahead of a request from the admitted backlog of all
+entries.
 """
 
 from collections.abc import Mapping
@@ -11,26 +12,29 @@
 from leadford.forwarding.batching import AdmittedBacklog
 from leadford.forwarding.routes import PieceLimits, Route, ServiceId
 
-# Part of the work of less urgent routes that counts before an urgent request: those
-# that have waited long go first, and calls under way are not stopped. Measured only
-# together with LESS_URGENT_S of `batching/_queue`.
-LATER_PART = 0.1
-# Seconds that an engine takes to read results.
+# Fraction of the pieces of less urgent routes that counts as ahead of an urgent
+# request: pieces that have waited long go first, and running calls are not interrupted.
+# The value fits LESS_URGENT_S of `batching/_queue`; change them only together.
+LESS_URGENT_FRACTION = 0.1
+# Time that an engine takes to read results.
 ENGINE_READ_S = 0.2
-# Full calls of a reading stage that results wait for their readers.
-READ_CALLS = 1.5
+# Time that results are held for a stage that reads them, in full calls of that stage.
+READER_CALL_COUNT = 1.5
 
 
 class StageCapacity(msgspec.Struct, frozen=True):
-    """Hold the endpoints that a batched stage can use."""
+    """Hold the limits and the number of usable endpoints of a batched stage."""
 
     limits: PieceLimits
     endpoints: int
 
     def backlog_s(self, pieces: float, result_bytes: int, held_s: float) -> float:
-        """Return how long all endpoints together need for so many pieces.
+        """Return how long all endpoints together need for a number of pieces.
 
-        Time binds them or room: each result is held for a while.
+        They are bounded by the call duration, or by memory, since each result is held
+        for `held_s`.
+
+        Units: seconds; infinite without an endpoint.
         """
         if self.endpoints == 0:
             return float("inf")
@@ -41,12 +45,15 @@
 
     @property
     def call_s(self) -> float:
-        """Return the time of a full call."""
+        """Return the duration of a full call."""
         return self.limits.full_call_s
 
 
 class StageForecast:
-    """Forecast the stages of one request by what their services can do now."""
+    """Forecast the stages of one request from the present capacity of their services.
+
+    `counts` holds the number of pieces of each stage.
+    """
 
     def __init__(
         self,
@@ -59,8 +66,8 @@
         self.counts = counts
         self.capacity_by_service = capacity_by_service
 
-    def path_s(self) -> float:
-        """Return how long the stages take on their longest path, without a backlog.
+    def critical_path_s(self) -> float:
+        """Return the duration of the critical path of the stages, without a backlog.
 
         Units: seconds.
         """
@@ -78,10 +85,11 @@
         return max(done_s, default=0.0)
 
     def delay_s(self, backlog: AdmittedBacklog, now: float, *, is_late: bool) -> float:
-        """Return the backlog of the stage that is the furthest behind.
+        """Return the backlog of the most delayed stage.
 
-        By the times of the configuration, or by what a stage that is behind makes.
-        Before a request that is late goes everything that is in time.
+        It follows from the configured call durations, or from the actual throughput of
+        a stage that is behind. All pieces that are in time go before those of a late
+        request.
 
         Units: seconds; infinite where a stage has no endpoint.
         """
@@ -95,7 +103,7 @@
                 return float("inf")
             held_s = capacity.call_s + self._read_s(number)
             pieces = backlog.pieces_before(
-                stage.service_id, is_urgent, later_part=LATER_PART, now=now
+                stage.service_id, is_urgent, later_part=LESS_URGENT_FRACTION, now=now
             )
             stage_s = capacity.backlog_s(pieces, stage.result_bytes, held_s)
             made_s = backlog.made_s(stage.service_id, is_urgent, now)
@@ -103,17 +111,17 @@
         return delay_s
 
     def pieces_by_service(self) -> dict[ServiceId, int]:
-        """Return how many pieces the request wants of each service."""
+        """Return the number of pieces that the request needs from each service."""
         pieces: dict[ServiceId, int] = {}
         for stage, count in zip(self.route.stages, self.counts, strict=True):
             pieces[stage.service_id] = pieces.get(stage.service_id, 0) + count
         return pieces
 
     def _read_s(self, number: int) -> float:
-        """Return how long results wait for their readers and are read by them."""
+        """Return how long results of a stage are held until their readers are done."""
         longest_s = ENGINE_READ_S
         for later, count in zip(self.route.stages, self.counts, strict=True):
             capacity = self.capacity_by_service.get(later.service_id)
             if number in later.after and count > 0 and capacity is not None:
-                longest_s = max(longest_s, READ_CALLS * capacity.call_s)
+                longest_s = max(longest_s, READER_CALL_COUNT * capacity.call_s)
         return longest_s
--- a/packages/leadford/src/leadford/forwarding/admission/_reservations.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_reservations.py
@@ -1,7 +1,7 @@
-"""Remember who was refused and told when to come back.
+"""Record refused requests and when their callers were told to retry.
 
-Owned by an entry; other entries tell theirs by heartbeats (`take_unsent`). Admission
-asks whether a request is one that returns. Nothing here decides.
+Each entry owns such a record, and entries exchange new refusals by heartbeats
+(`take_unsent`). Admission uses it to recognize caller retries; nothing is decided here.
 """
 
 from collections import OrderedDict
@@ -10,20 +10,19 @@
 
 from leadford.forwarding.routes import ServiceId
 
-# Refused requests that are remembered.
-RESERVATIONS_KEPT = 400
-# Seconds after the time to come back for which a request that comes counts as returned.
-RETURN_FRESH_S = 12.0
+MAX_RESERVATIONS = 400
+# Time after the announced retry time within which a request still counts as a retry.
+RETRY_GRACE_S = 12.0
 
 
 class RetryReservation(msgspec.Struct, frozen=True):
-    """Hold a refused request that was told when to come back.
+    """Hold a refused request and when its caller was told to retry.
 
-    Entries of earlier versions count the pieces that it will ask for; nothing here
-    does.
+    Only entries of earlier versions use `pieces_by_service`, the pieces that the retry
+    will need.
 
-    Units: return_at and known_at (when it was refused here, or another entry told it)
-    in seconds of the monotonic clock.
+    Units: seconds of the monotonic clock; known_at is when the request was refused here
+    or another entry reported it.
     """
 
     fingerprint: str
@@ -34,9 +33,9 @@
 
 
 class RetryReservations:
-    """Remember who was told to come back when, here and at other entries.
+    """Record the refusals of this entry and of others by request fingerprint.
 
-    A request that returns is told apart from newcomers by its fingerprint.
+    The fingerprint distinguishes a retry from a first try.
     """
 
     def __init__(self) -> None:
@@ -44,27 +43,27 @@
         self.unsent_: list[RetryReservation] = []
 
     def record(self, reservation: RetryReservation, *, is_own: bool) -> None:
-        """Record a refusal; that it was refused before stays known."""
+        """Record a refusal, and keep the time of the first one of the same request."""
         known = self.by_fingerprint_.get(reservation.fingerprint)
         if known is not None:
             known_at = min(known.known_at, reservation.known_at)
             reservation = msgspec.structs.replace(reservation, known_at=known_at)
         self.by_fingerprint_[reservation.fingerprint] = reservation
         self.by_fingerprint_.move_to_end(reservation.fingerprint)
-        while len(self.by_fingerprint_) > RESERVATIONS_KEPT:
+        while len(self.by_fingerprint_) > MAX_RESERVATIONS:
             self.by_fingerprint_.popitem(last=False)
         if is_own:
             self.unsent_.append(reservation)
 
     def take_unsent(self) -> list[RetryReservation]:
-        """Return the refusals that other entries have not been told of."""
+        """Return and clear the own refusals that other entries have not been sent."""
         unsent = self.unsent_
         self.unsent_ = []
         return unsent
 
     def refused(self, fingerprint: str, now: float) -> RetryReservation | None:
-        """Return what is known of a request that was refused a short while ago."""
+        """Return the reservation of a recently refused request, if there is one."""
         reservation = self.by_fingerprint_.get(fingerprint)
-        if reservation is None or now - reservation.return_at >= RETURN_FRESH_S:
+        if reservation is None or now - reservation.return_at >= RETRY_GRACE_S:
             return None
         return reservation
--- a/packages/leadford/src/leadford/forwarding/admission/_usual_wait.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_usual_wait.py
@@ -1,64 +1,64 @@
-"""Know a request that returns by what its caller brings, whoever refused it before.
+"""Recognize a caller retry by the timeout it states, whichever entry refused it before.
 
-The load pattern: under a burst many are refused and come back, each through any entry.
-With 68 entries the one that a caller comes back to has heard of its refusal in one case
-of six; all others are taken for newcomers, and their pieces go before those of requests
-that can still be in time. But a caller says how long it will still wait. Most first
-tries of a route say the same, returns each say something less. Owned by admission;
-nothing here decides what follows.
+During a burst many requests are refused and retried, each through any entry. With 68
+entries, the entry that receives a retry knows of the refusal in only one case of six.
+The others would take it for a first try and queue its pieces before those of requests
+that can still be in time. However, callers state how long they will still wait: most
+first tries of a route state the same timeout, and retries state various shorter ones.
+Owned by admission, which decides what follows.
 """
 
 from collections import Counter
 
 from leadford.forwarding.routes import RouteId
 
-# Part of the callers of a route that must announce the same wait before it counts as
-# that of first tries. Returns announce what is left, hardly ever the same twice; under
-# a burst half of the callers may be returns.
-USUAL_PART = 0.25
-# Callers of a route that must have been seen before.
-USUAL_LEAST = 8
-# Callers of a route whose waits are counted; then all counts are halved, so that a
-# changed wait is learned.
-CALLERS_COUNTED = 400
-# Seconds to which announced waits are rounded, and by which a return announces less at
-# least: nobody is told to come back sooner than after 0.25 s.
-STEP_S = 0.01
-LESS_S = 0.1
-# Routes that are remembered; the oldest is forgotten first. Far more than have stages.
-ROUTES_KEPT = 2_000
+# Fraction of the callers of a route that must state the same timeout before it counts
+# as that of first tries. Retries state the remaining time, which rarely repeats; during
+# a burst half of the callers may be retries.
+MIN_COMMON_FRACTION = 0.25
+# Minimum number of recorded callers of a route before anything is inferred.
+MIN_CALLERS = 8
+# Number of recorded callers of a route above which all counts are halved, so that a
+# changed timeout is learned.
+MAX_CALLERS = 400
+# Resolution to which stated timeouts are rounded, and minimum difference to the common
+# timeout for a retry. No caller is told to retry sooner than after 0.25 s.
+RESOLUTION_S = 0.01
+MIN_REDUCTION_S = 0.1
+# Maximum number of routes, far more than have stages; the oldest is dropped first.
+MAX_ROUTES = 2_000
 
 
-class UsualWaits:
-    """Count how long the callers of each route say that they wait."""
+class CommonTimeouts:
+    """Count the timeouts that callers of each route state."""
 
     def __init__(self) -> None:
         self.counts_by_route_: dict[RouteId, Counter[int]] = {}
 
-    def record(self, route_id: RouteId, allowed_s: float) -> None:
-        """Record how long a caller waits."""
+    def record(self, route_id: RouteId, remaining_s: float) -> None:
+        """Record how long a caller will still wait."""
         counts = self.counts_by_route_.setdefault(route_id, Counter())
-        counts[round(allowed_s / STEP_S)] += 1
-        if counts.total() > CALLERS_COUNTED:
+        counts[round(remaining_s / RESOLUTION_S)] += 1
+        if counts.total() > MAX_CALLERS:
             halved = {steps: count // 2 for steps, count in counts.items()}
             self.counts_by_route_[route_id] = Counter(
                 {steps: count for steps, count in halved.items() if count > 0}
             )
-        if len(self.counts_by_route_) > ROUTES_KEPT:
+        if len(self.counts_by_route_) > MAX_ROUTES:
             del self.counts_by_route_[next(iter(self.counts_by_route_))]
 
-    def since_s(self, route_id: RouteId, allowed_s: float) -> float | None:
-        """Return the time since the first try of a caller that waits so long now.
+    def since_first_try_s(self, route_id: RouteId, remaining_s: float) -> float | None:
+        """Return the time since the first try of a caller, by its remaining time.
 
-        None where it is no return, or nothing usual is known.
+        None for a first try, and if no common timeout is known.
 
         Units: seconds.
         """
         counts = self.counts_by_route_.get(route_id)
-        if counts is None or counts.total() < USUAL_LEAST:
+        if counts is None or counts.total() < MIN_CALLERS:
             return None
         steps, count = counts.most_common(1)[0]
-        if count < USUAL_PART * counts.total():
+        if count < MIN_COMMON_FRACTION * counts.total():
             return None
-        since_s = steps * STEP_S - allowed_s
-        return since_s if since_s >= LESS_S else None
+        since_first_try_s = steps * RESOLUTION_S - remaining_s
+        return since_first_try_s if since_first_try_s >= MIN_REDUCTION_S else None
--- a/packages/leadford/src/leadford/forwarding/admission/tests/conftest.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of admission share: a route with stages, and a request for it."""
+"""Shared builders for the admission tests: a route with stages, and a request."""
 
 from leadford.forwarding.admission import AdmissionRequest
 from leadford.forwarding.routes import (
@@ -12,8 +12,8 @@
 
 
 def piece_limits(**fields):
-    """Return a batched service that makes ten pieces a call, with `fields` changed."""
-    usual = {
+    """Return limits of a service with ten pieces a call, with `fields` replaced."""
+    defaults = {
         "slots": 1,
         "queue": 2,
         "batch": 10,
@@ -22,12 +22,12 @@
         "room_bytes": 1_000_000,
         "retention_s": 4.0,
     }
-    return PieceLimits(**{**usual, **fields})
+    return PieceLimits(**{**defaults, **fields})
 
 
 def staged_route(*stages, **fields):
-    """Return a route of streams with stages, with `fields` changed."""
-    usual = {
+    """Return a streaming route with stages, with `fields` replaced."""
+    defaults = {
         "route_id": RouteId("r"),
         "host": "h",
         "path_prefix": "/",
@@ -38,12 +38,12 @@
         "priority": 0,
         "stages": stages,
     }
-    return Route(**{**usual, **fields})
+    return Route(**{**defaults, **fields})
 
 
 def request_for(route, counts, capacity_by_service, **fields):
-    """Return a request that has just come, with `fields` changed."""
-    usual = {
+    """Return a request that has just arrived, with `fields` replaced."""
+    defaults = {
         "priority": 0,
         "fingerprint": "f",
         "engine_s": 0.1,
@@ -51,4 +51,6 @@
         "allowed_s": route.timeout_ms / 1_000.0,
         "now": 0.0,
     }
-    return AdmissionRequest(route, counts, capacity_by_service, **{**usual, **fields})
+    return AdmissionRequest(
+        route, counts, capacity_by_service, **{**defaults, **fields}
+    )
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_chain_of_stages.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_chain_of_stages.py
@@ -1,8 +1,9 @@
-"""Under a burst before a chain of stages what is admitted is answered in time.
+"""Test that requests admitted to a chain of stages in a burst are answered in time.
 
-Replays in small steps: requests come to one entry in bursts, and pass three stages in
-turn, of which the last one binds. Each stage makes the pieces that came to it first. So
-a backlog of the last stage shrinks while a request is still in the stages before it.
+A simulation in small time steps: requests arrive at one entry in bursts and pass
+through three stages in sequence, of which the last one is the bottleneck. Each stage
+processes pieces in the order of their arrival. So the backlog of the last stage shrinks
+while a request is still in the stages before it.
 """
 
 from collections import deque
@@ -38,16 +39,18 @@
 )
 ENGINE_S = 0.15
 STEP_S = 0.01
-LENGTH_S = 12.0
-# Requests that the last stage makes in a second.
-CAPACITY = ENDPOINTS_BY_SERVICE[LAST] * LIMITS.batch / LIMITS.full_call_s / COUNTS[2]
-# Seconds from the begin of a burst to the next one, and its part at the higher load.
-WAVE_S = 3.0
-BURST_PART = 0.5
+DURATION_S = 12.0
+# Throughput of the last stage.
+CAPACITY_REQUESTS_PER_S = (
+    ENDPOINTS_BY_SERVICE[LAST] * LIMITS.batch / LIMITS.full_call_s / COUNTS[2]
+)
+# Time from the start of a burst to the next one, and fraction of it at the higher load.
+BURST_INTERVAL_S = 3.0
+BURST_FRACTION = 0.5
 
 
 class Chain:
-    """Hold the queues of three stages and one admission before them."""
+    """Simulate the queues of three stages and the admission before them."""
 
     def __init__(self):
         self.backlog = AdmittedBacklog()
@@ -56,10 +59,10 @@
         )
         self.queues = [deque() for _ in COUNTS]
         self.credit = [0.0 for _ in COUNTS]
-        self.took_s = []
+        self.response_times_s = []
         self.refused = 0
 
-    def ask(self, number, now):
+    def submit(self, number, now):
         capacities = {
             service: StageCapacity(LIMITS, endpoints)
             for service, endpoints in ENDPOINTS_BY_SERVICE.items()
@@ -82,13 +85,13 @@
             self.backlog.add(BacklogKey(stage.service_id, False), count)
         self.queues[0].append((now, now))
 
-    def make(self, now):
-        """Make what the endpoints of each stage can in one step."""
+    def process(self, now):
+        """Process what the endpoints of each stage can in one time step."""
         for number, stage in enumerate(ROUTE.stages):
             per_s = ENDPOINTS_BY_SERVICE[stage.service_id] * LIMITS.batch
             self.credit[number] += per_s / LIMITS.full_call_s * STEP_S
             queue, count = self.queues[number], COUNTS[number]
-            ready = sum(1 for _, there_at in queue if there_at <= now)
+            ready = sum(1 for _, ready_at in queue if ready_at <= now)
             self.credit[number] = min(self.credit[number], max(count, ready * count))
             while queue and queue[0][1] <= now and self.credit[number] >= count:
                 self.credit[number] -= count
@@ -98,39 +101,47 @@
                 if number + 1 < len(COUNTS):
                     self.queues[number + 1].append((came_at, now + call_s))
                 else:
-                    self.took_s.append(now + call_s + ENGINE_S - came_at)
+                    self.response_times_s.append(now + call_s + ENGINE_S - came_at)
 
 
 def replay(*, quiet, burst):
-    """Return the chain after bursts at so many times the capacity of its last stage."""
+    """Return the chain after loads given as multiples of the last stage's capacity."""
     chain = Chain()
     due, number = 0.0, 0
-    for step in range(round(LENGTH_S / STEP_S)):
+    for step in range(round(DURATION_S / STEP_S)):
         now = step * STEP_S
-        load = burst if now % WAVE_S < BURST_PART * WAVE_S else quiet
-        due += load * CAPACITY * STEP_S
+        load = (
+            burst
+            if now % BURST_INTERVAL_S < BURST_FRACTION * BURST_INTERVAL_S
+            else quiet
+        )
+        due += load * CAPACITY_REQUESTS_PER_S * STEP_S
         while due >= 1.0:
             due -= 1.0
             number += 1
-            chain.ask(number, now)
-        chain.make(now)
+            chain.submit(number, now)
+        chain.process(now)
     return chain
 
 
 def late(chain):
-    return [took for took in chain.took_s if took > ROUTE.aim_ms / 1_000.0]
+    return [
+        response_s
+        for response_s in chain.response_times_s
+        if response_s > ROUTE.aim_ms / 1_000.0
+    ]
 
 
 def test_a_burst_that_is_admitted_is_answered_in_time():
     chain = replay(quiet=0.3, burst=1.7)
     assert late(chain) == []
-    # What is admitted is most of what the chain could make.
-    assert len(chain.took_s) > 0.9 * CAPACITY * LENGTH_S
+    # The admitted requests use most of the capacity of the chain.
+    assert len(chain.response_times_s) > 0.9 * CAPACITY_REQUESTS_PER_S * DURATION_S
 
 
 @pytest.mark.parametrize("load", [1.2, 1.6, 2.5])
 def test_beyond_the_capacity_of_the_chain_what_is_admitted_is_in_time(load):
     chain = replay(quiet=load, burst=load)
     assert chain.refused > 0
-    assert len(late(chain)) < 0.02 * len(chain.took_s)
-    assert len(chain.took_s) > 0.8 * CAPACITY * LENGTH_S
+    assert len(late(chain)) < 0.02 * len(chain.response_times_s)
+    assert len(chain.response_times_s) > 0.8 * CAPACITY_REQUESTS_PER_S * DURATION_S
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
@@ -1,4 +1,4 @@
-"""Requests with stages are admitted while they can be answered in time."""
+"""Test that requests with stages are admitted while they can be answered in time."""
 
 from random import Random
 
@@ -75,7 +75,7 @@
 
 def test_a_long_path_is_not_refused_for_its_own_length():
     fixture = Fixture()
-    # The path alone takes most of the aim; a small backlog still fits in the rest.
+    # The critical path takes most of the target; a small backlog fits into the rest.
     fixture.admit_pieces(10)
     decision = fixture.decide(elapsed_s=1.0)
     assert 0.7 * 2.0 < decision.expected_s < 2.0
@@ -128,10 +128,10 @@
 
 
 def test_work_that_is_yet_to_return_holds_no_newcomer_back():
-    """Symptom: after a burst every request was refused once and answered late.
+    """Guard against refusing every request once, and answering it late, after a burst.
 
-    Sequence: refused requests stood before newcomers, so these were refused as well,
-    returned, and stood before the next, long after the burst was over.
+    Refused requests counted as ahead of first tries, so these were refused as well,
+    were retried and counted as ahead of the next ones, long after the burst was over.
     """
     fixture = Fixture()
     reservation = RetryReservation("p", 1.0, True, {SERVICE: 200}, 0.0)
@@ -157,7 +157,7 @@
     assert soon.first_try_s == pytest.approx(0.3)
     later = fixture.decide(now=1.8, asked_s=6.2)
     assert (later.verdict, later.is_late) == (Verdict.ADMIT, True)
-    # A newcomer that waits less than others is no return.
+    # A first try with a shorter timeout than others is no retry.
     newcomer = fixture.decide(fingerprint="new", now=1.8, asked_s=6.2)
     assert (newcomer.first_try_s, newcomer.is_late) == (0.0, False)
 
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_forecast.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""Stages are forecast by their longest path and the one that is furthest behind."""
+"""Test forecasts of stages: the critical path and the most delayed stage."""
 
 import msgspec
 import pytest
@@ -27,16 +27,16 @@
 
 
 def test_the_path_is_the_longest_chain_of_stages():
-    assert forecast((1, 1, 1)).path_s() == pytest.approx(0.51 + 0.21)
+    assert forecast((1, 1, 1)).critical_path_s() == pytest.approx(0.51 + 0.21)
 
 
 def test_a_stage_without_pieces_takes_no_time():
-    assert forecast((1, 0, 1)).path_s() == pytest.approx(0.21 + 0.21)
+    assert forecast((1, 0, 1)).critical_path_s() == pytest.approx(0.21 + 0.21)
 
 
 def test_more_pieces_than_all_endpoints_take_in_a_call_need_another_round():
-    assert forecast((20, 0, 0)).path_s() == pytest.approx(0.3)
-    assert forecast((21, 0, 0)).path_s() == pytest.approx(0.6)
+    assert forecast((20, 0, 0)).critical_path_s() == pytest.approx(0.3)
+    assert forecast((21, 0, 0)).critical_path_s() == pytest.approx(0.6)
 
 
 def delay_s(counts, backlog, *, is_late=False):
@@ -48,7 +48,7 @@
     backlog.add(BacklogKey(FAST, True), 20)
     backlog.add(BacklogKey(SLOW, True), 20)
     assert delay_s((1, 1, 1), backlog) == pytest.approx(20 * 0.06)
-    # A stage that the request leaves out does not hold it up.
+    # A stage that the request does not use does not delay it.
     assert delay_s((1, 0, 1), backlog) == pytest.approx(20 * 0.03 / 2)
 
 
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_large_fleet.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_large_fleet.py
@@ -1,8 +1,9 @@
-"""A load beyond what a stage can make, spread over many entries, is admitted in time.
+"""Test admission at many entries under a load above the capacity of a stage.
 
-Replays in small steps: requests come to 60 entries in turn, which know what heartbeats
-of 0.2 s tell them. Four of them hear everybody, the others hear those four and two
-neighbours. One stage binds; it makes the pieces that were admitted first.
+A simulation in small time steps: requests arrive at 60 entries at random, which learn
+from each other by heartbeats every 0.2 s. Four of them are linked to all entries, the
+others to those four and two neighbors on each side. One stage is the bottleneck; it
+processes the pieces in the order of their admission.
 """
 
 from random import Random
@@ -37,18 +38,18 @@
 ENGINE_S = 0.1
 STEP_S = 0.01
 HEARTBEAT_STEPS = 20
-LENGTH_S = 10.0
-# What all endpoints make in a second.
-CAPACITY = ENDPOINTS * LIMITS.batch / LIMITS.full_call_s
+DURATION_S = 10.0
+# Throughput of all endpoints.
+CAPACITY_PIECES_PER_S = ENDPOINTS * LIMITS.batch / LIMITS.full_call_s
 
 
 class Fleet:
-    """Hold the backlogs of all entries, and the one queue of the stage."""
+    """Simulate the backlogs of all entries and the single queue of the stage."""
 
-    def __init__(self, *, tells_sum, slowness=1.0, tells_rate=False):
-        self.tells_sum = tells_sum
+    def __init__(self, *, reports_sum, slowness=1.0, reports_rate=False):
+        self.reports_sum = reports_sum
         self.slowness = slowness
-        self.tells_rate = tells_rate
+        self.reports_rate = reports_rate
         self.throughput = Throughput()
         self.backlogs = [AdmittedBacklog() for _ in range(ENTRIES)]
         self.admissions = [
@@ -58,32 +59,32 @@
             for backlog in self.backlogs
         ]
         self.queue = []
-        self.made = 0.0
-        self.took_s = []
+        self.processed = 0.0
+        self.response_s = []
         self.expected_s = []
         self.refused = 0
 
-    def hears(self, number):
-        """Return the entries that one hears."""
+    def peers_of(self, number):
+        """Return the entries that an entry receives heartbeats from."""
         if number < HUBS:
             return [other for other in range(ENTRIES) if other != number]
         near = [(number + step) % ENTRIES for step in (-2, -1, 1, 2)]
         return sorted(({*range(HUBS)} | {*near}) - {number})
 
-    def beat(self, number, now):
-        """Have one entry hear all that it has links with."""
+    def receive_heartbeats(self, number, now):
+        """Have one entry receive the heartbeats of its peers."""
         backlog = self.backlogs[number]
-        for other in self.hears(number):
-            said = self.backlogs[other].say()
-            backlog.record_heard(EntryId(f"e{other}"), said, now)
-            if self.tells_sum and other < HUBS:
-                told = self.backlogs[other].sum(SERVICE, now)
-                backlog.record_sum(SERVICE, told, now)
-        if self.tells_rate:
+        for other in self.peers_of(number):
+            reported = self.backlogs[other].say()
+            backlog.record_heard(EntryId(f"e{other}"), reported, now)
+            if self.reports_sum and other < HUBS:
+                reported_sum = self.backlogs[other].sum(SERVICE, now)
+                backlog.record_sum(SERVICE, reported_sum, now)
+        if self.reports_rate:
             backlog.record_rate(SERVICE, self.throughput.rate(now), now)
 
-    def ask(self, number, now):
-        """Have a request come to an entry."""
+    def submit(self, number, now):
+        """Submit a request to an entry."""
         decision = self.admissions[number].decide(
             request_for(
                 ROUTE,
@@ -102,25 +103,25 @@
         self.backlogs[number].add(KEY, PIECES)
         self.queue.append((number, now))
 
-    def make(self, now):
-        """Make what the endpoints can in one step."""
-        made = CAPACITY / self.slowness * STEP_S
-        self.made = min(self.made + made, len(self.queue) * PIECES)
-        while self.queue and self.made >= PIECES:
-            self.made -= PIECES
+    def process(self, now):
+        """Process what the endpoints can in one time step."""
+        processed = CAPACITY_PIECES_PER_S / self.slowness * STEP_S
+        self.processed = min(self.processed + processed, len(self.queue) * PIECES)
+        while self.queue and self.processed >= PIECES:
+            self.processed -= PIECES
             number, came_at = self.queue.pop(0)
             self.backlogs[number].add(KEY, -PIECES)
             for _ in range(PIECES):
                 self.throughput.record_made(is_urgent=False)
-            self.took_s.append(now - came_at + LIMITS.full_call_s + ENGINE_S)
+            self.response_s.append(now - came_at + LIMITS.full_call_s + ENGINE_S)
 
 
-def replay(*, load, tells_sum, slowness=1.0, tells_rate=False):
-    """Return the fleet after requests came at so many times the capacity."""
-    fleet = Fleet(tells_sum=tells_sum, slowness=slowness, tells_rate=tells_rate)
+def replay(*, load, reports_sum, slowness=1.0, reports_rate=False):
+    """Return the fleet after a load given as a multiple of the capacity."""
+    fleet = Fleet(reports_sum=reports_sum, slowness=slowness, reports_rate=reports_rate)
     random = Random(3)
     due = 0.0
-    for step in range(round(LENGTH_S / STEP_S)):
+    for step in range(round(DURATION_S / STEP_S)):
         now = step * STEP_S
         if step % HEARTBEAT_STEPS == 0:
             waiting = len(fleet.queue) * PIECES
@@ -128,53 +129,59 @@
             fleet.throughput.sample(waiting=waiting, full_round=full_round, now=now)
         for number in range(ENTRIES):
             if step % HEARTBEAT_STEPS == number % HEARTBEAT_STEPS:
-                fleet.beat(number, now)
-        due += load * CAPACITY / PIECES * STEP_S
+                fleet.receive_heartbeats(number, now)
+        due += load * CAPACITY_PIECES_PER_S / PIECES * STEP_S
         while due >= 1.0:
             due -= 1.0
-            fleet.ask(random.randrange(ENTRIES), now)
-        fleet.make(now)
+            fleet.submit(random.randrange(ENTRIES), now)
+        fleet.process(now)
     return fleet
 
 
-def in_time_part(fleet):
-    """Return the part of what the stage can make that was answered in time."""
-    in_time = sum(1 for took_s in fleet.took_s if took_s <= ROUTE.aim_ms / 1_000.0)
-    return in_time * PIECES / (CAPACITY * LENGTH_S)
+def in_time_fraction(fleet):
+    """Return the pieces answered in time as a fraction of the capacity."""
+    in_time = sum(
+        1 for response_s in fleet.response_s if response_s <= ROUTE.aim_ms / 1_000.0
+    )
+    return in_time * PIECES / (CAPACITY_PIECES_PER_S * DURATION_S)
 
 
 @pytest.mark.parametrize("load", [1.3, 2.0, 3.0])
 def test_beyond_its_capacity_a_stage_serves_what_it_can_in_time(load):
-    fleet = replay(load=load, tells_sum=True)
-    assert in_time_part(fleet) > 0.9
-    assert max(fleet.took_s) < 1.1 * ROUTE.aim_ms / 1_000.0
+    fleet = replay(load=load, reports_sum=True)
+    assert in_time_fraction(fleet) > 0.9
+    assert max(fleet.response_s) < 1.1 * ROUTE.aim_ms / 1_000.0
 
 
 def test_entries_that_count_only_what_they_hear_admit_too_much():
-    fleet = replay(load=2.0, tells_sum=False)
-    assert in_time_part(fleet) < 0.6
+    fleet = replay(load=2.0, reports_sum=False)
+    assert in_time_fraction(fleet) < 0.6
 
 
-def late_part(fleet):
-    """Return the part of the answers that came too late."""
-    late = [took_s for took_s in fleet.took_s if took_s > ROUTE.aim_ms / 1_000.0]
-    return len(late) / len(fleet.took_s)
+def late_fraction(fleet):
+    """Return the fraction of the answers that were late."""
+    late = [
+        response_s
+        for response_s in fleet.response_s
+        if response_s > ROUTE.aim_ms / 1_000.0
+    ]
+    return len(late) / len(fleet.response_s)
 
 
 def test_a_stage_slower_than_configured_is_admitted_to_by_what_it_makes():
-    slow = {"load": 1.2, "tells_sum": True, "slowness": 2.0}
-    assert late_part(replay(**slow)) > 0.4
-    assert late_part(replay(**slow, tells_rate=True)) < 0.05
+    options = {"load": 1.2, "reports_sum": True, "slowness": 2.0}
+    assert late_fraction(replay(**options)) > 0.4
+    assert late_fraction(replay(**options, reports_rate=True)) < 0.05
 
 
 def test_a_load_that_the_stage_bears_is_not_turned_away():
-    assert replay(load=0.8, tells_sum=True).refused == 0
+    assert replay(load=0.8, reports_sum=True).refused == 0
 
 
 def test_a_short_queue_serves_as_many_and_leaves_time_to_come_back():
-    fleet = replay(load=2.0, tells_sum=True)
-    assert in_time_part(fleet) > 0.9
-    steady = sorted(fleet.took_s[len(fleet.took_s) // 2 :])
+    fleet = replay(load=2.0, reports_sum=True)
+    assert in_time_fraction(fleet) > 0.9
+    steady = sorted(fleet.response_s[len(fleet.response_s) // 2 :])
     median_s = steady[len(steady) // 2]
-    # A caller that was refused once and comes back after 0.8 s is in time too.
+    # A request that is refused once and retried after 0.8 s is in time too.
     assert median_s + 0.8 < ROUTE.aim_ms / 1_000.0
