--- a/packages/leadford/src/leadford/forwarding/answers/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/answers/__init__.py
@@ -1,4 +1,4 @@
-"""Decide what a caller is told when no endpoint's answer is passed on."""
+"""Decide the response to a caller that gets no endpoint's answer."""
 
 from leadford.forwarding.answers._final import (
     RETRY_AFTER_S,
--- a/packages/leadford/src/leadford/forwarding/answers/_final.py
+++ b/packages/leadford/src/leadford/forwarding/answers/_final.py
@@ -1,22 +1,21 @@
-"""Decide what a caller is told when no endpoint's answer is passed on.
+"""Decide the response to a caller that gets no endpoint's answer.
 
-The rule: 503 promises that nothing ran, so it is said only while no attempt may have
-run. Once one may have run, the caller gets 502. Once a part of an answer has been
-written, nothing true can be said any more, and the connection is broken off.
+Status 503 promises that the request did not run, so it is sent only if no attempt may
+have run. If one may have run, the caller gets 502. If a part of an answer has already
+been written, no status can be sent any more, and the connection is closed.
 
 Called by the request forwarder for each request that ends without an endpoint's answer.
-It relies on `retries` for whether another attempt is made, and leaves to the adapter
-how the time to come back is written.
+`retries` decides whether another attempt is made, and the adapter formats the retry
+delay.
 """
 
 from enum import Enum
 
 import msgspec
 
-# Seconds. Told with a refusal that has no better estimate.
+# Retry delay of a refusal without a better estimate.
 RETRY_AFTER_S = 1.0
-# Seconds. While this process stops others are ready, so the caller may come back at
-# once.
+# While this process stops, others are ready, so the caller may retry almost at once.
 STOPPING_RETRY_AFTER_S = 0.1
 
 STATUS_MALFORMED = 400
@@ -28,7 +27,7 @@
 
 
 class RequestOutcome(Enum):
-    """Say how a request ended; the values stand in logs and metrics."""
+    """Name how a request ended; the values appear in logs and metrics."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -40,10 +39,11 @@
 
 
 class EndReason(Enum):
-    """Say why a request ended as it did; the values stand in the log of its end.
+    """Name why a request ended as it did; the values appear in the log of its end.
 
-    Those of `routes.StartDenial` are among them. HELD_BACK: each endpoint of the
-    service asked for less than callers want. FAULT is an error of this process.
+    The values of `routes.StartDenial` are included. HELD_BACK: every endpoint of the
+    service asked for a lower request rate than callers send. FAULT is an error of this
+    process.
     """
 
     ANSWERED = "answered"
@@ -65,10 +65,10 @@
 
 
 class FinalAnswer(msgspec.Struct, frozen=True):
-    """Hold the answer that this process gives by itself.
+    """Describe a response that this process generates itself.
 
-    Units: status is 0 where the connection is broken off; retry_after_s in seconds,
-    None where the caller is given no time to come back.
+    Units: status is 0 if the connection is closed instead; retry_after_s in seconds,
+    None if the response states no retry delay.
     """
 
     outcome: RequestOutcome
@@ -98,10 +98,10 @@
     has_begun: bool,
     retry_after_s: float = RETRY_AFTER_S,
 ) -> FinalAnswer:
-    """Return the answer for a request that ends without one of an endpoint.
+    """Return the response for a request that ends without an endpoint's answer.
 
-    `may_have_run` is true once any attempt may have run; `has_begun` once a part of an
-    answer was written to the caller.
+    `may_have_run` is true if any attempt may have run, `has_begun` if a part of an
+    answer has been written to the caller.
     """
     if has_begun:
         return FinalAnswer(RequestOutcome.BROKEN_OFF, 0)
@@ -110,7 +110,7 @@
     if reason is EndReason.OUT_OF_TIME:
         return FinalAnswer(RequestOutcome.LATE, STATUS_LATE)
     if reason in (EndReason.MISLEADING_STATUS, EndReason.FAULT):
-        # After an error of this process it is not known what has run.
+        # After an error of this process it is unknown whether the request ran.
         return FinalAnswer(RequestOutcome.FAILED, STATUS_FAILED)
     if reason not in _REFUSALS and may_have_run:
         return FinalAnswer(RequestOutcome.FAILED, STATUS_FAILED)
@@ -118,7 +118,7 @@
 
 
 def quarantined_text(retry_after_s: float, *, may_have_run: bool) -> str:
-    """Return what a caller is told of a request under which endpoints ended.
+    """Return the response text for a request that ended the endpoints that ran it.
 
     Units: seconds.
     """
@@ -130,9 +130,10 @@
 
 
 def may_pass_on(status: int, not_run_statuses: frozenset[int]) -> bool:
-    """Tell whether an endpoint's status may be passed on to the caller.
+    """Return whether an endpoint's status may be passed on to the caller.
 
-    `not_run_statuses` say to a caller that nothing ran. An endpoint that answers one of
-    them without saying that it did not run the request promises no such thing.
+    To a caller, `not_run_statuses` mean that the request did not run. An endpoint that
+    sends one of them without stating that it did not run the request does not promise
+    this.
     """
     return status not in not_run_statuses
--- a/packages/leadford/src/leadford/forwarding/answers/tests/test_final.py
+++ b/packages/leadford/src/leadford/forwarding/answers/tests/test_final.py
@@ -1,4 +1,4 @@
-"""What a caller is told when no endpoint's answer is passed on."""
+"""Test the response to a caller that gets no endpoint's answer."""
 
 import pytest
 
