--- a/packages/leadford/src/leadford/forwarding/routes/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Hold routes, services and workspaces, look requests up, and say which may begin."""
+"""Model routes, services and workspaces, look up routes, and decide who may start."""
 
 from leadford.forwarding.routes._denial import ProcessAge, StartDenial, decide_start
 from leadford.forwarding.routes._model import (
--- a/packages/leadford/src/leadford/forwarding/routes/_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_denial.py
@@ -1,12 +1,12 @@
-"""Decide whether a request may begin at all: configuration, route, key, planned stop.
-
-Called by the request forwarder before anything else is done for a request. It decides
-from the configuration in force, how long ago the store confirmed it, and how long a
-planned stop has been under way. A missing route or key is said only from a
-configuration that is surely not behind; in doubt the request is refused, because a
-newer configuration may allow it. Nothing is decided by a configuration that is known to
-be too far behind: its routes may have moved and its keys been taken away. Whether a
-request with stages fits is left to `admission`.
+"""Decide whether a request may start, by configuration, route, key and planned stop.
+
+Called by the request forwarder before anything else is done for a request. The decision
+follows from the active configuration, the time since the store confirmed it, and the
+time since a planned stop began. A missing route or key is reported only from a recently
+confirmed configuration; otherwise the request is refused, because a newer configuration
+may allow it. A configuration that is known to be too old is not used at all: its routes
+may have moved and its keys may have been revoked. `admission` decides whether there is
+capacity for a request with stages.
 """
 
 from enum import Enum
@@ -17,24 +17,25 @@
 from leadford.forwarding.routes._model import Route, RouteKind
 from leadford.forwarding.routes._table import LookupFailure, LookupFault, RouteMatch
 
-# Seconds since the store last confirmed the configuration, after which a missing route
-# or key may be news that this process has not heard.
-CONFIG_FRESH_S = 6.0
-# Seconds before the deployment's bound on stale configurations from which nothing is
-# decided by one that is known to be stale: heartbeats tell of a newer one up to 0.2 s
-# after it came in force there.
-BEHIND_MARGIN_S = 0.5
-# Seconds after a planned stop began from which no stream begins: it would be cut at the
-# end of the grace period.
-STOP_TAKES_STREAMS_S = 2.6
-# Seconds before the end of the grace period from which no plain request begins, and at
-# which all that began have had the time of their route.
-STOP_LEAST_S = 2.0
-STOP_ENDED_S = 0.8
+# Time since the last confirmation by the store after which a missing route or key may
+# exist in a newer configuration that this process does not know.
+MAX_CONFIG_AGE_S = 6.0
+# A configuration known to be stale is no longer used from this long before the
+# deployment's bound on stale configurations: heartbeats report a newer one up to 0.2 s
+# after it became active at the sender.
+STALE_CONFIG_MARGIN_S = 0.5
+# Time after the start of a planned stop during which all requests may start. No stream
+# starts later, since it would be cut at the end of the grace period.
+STOP_ACCEPT_ALL_S = 2.6
+# Time before the end of the grace period from which no plain request starts.
+STOP_REFUSE_ALL_S = 2.0
+# Time before the end of the grace period by which the time limit of a plain request
+# must have passed, unless it starts while all requests may.
+STOP_MARGIN_S = 0.8
 
 
 class StartDenial(Enum):
-    """Say why a request does not begin."""
+    """Name why a request does not start."""
 
     NO_CONFIG = "no-config"
     NO_ROUTE = "no-route"
@@ -44,13 +45,13 @@
 
 
 class ProcessAge(msgspec.Struct, frozen=True):
-    """Say how old what this process believes is, and how far its stop has come.
+    """Hold the age of the configuration and the progress of a planned stop.
 
     Units: seconds. config_age_s counts from the last confirmation by the store, None
-    without one; stopping_s from the begin of a planned stop, None without one; grace_s
-    is how long a planned stop may take; behind_s is for how long another entry is known
-    to run a newer configuration, None while none is; config_s is how long after its
-    acceptance a configuration may not be in force.
+    without one; stopping_s counts from the start of a planned stop, None without one;
+    grace_s is the maximum duration of a planned stop; behind_s is for how long another
+    entry has been known to use a newer configuration, None if none is known; config_s
+    is the maximum time from the acceptance of a configuration until it is active.
     """
 
     config_age_s: float | None
@@ -61,10 +62,10 @@
 
     @property
     def is_stale(self) -> bool:
-        """Tell whether the configuration is known to be too far behind to be used."""
+        """Return whether the configuration is known to be too old to be used."""
         if self.behind_s is None:
             return False
-        return self.behind_s > self.config_s - BEHIND_MARGIN_S
+        return self.behind_s > self.config_s - STALE_CONFIG_MARGIN_S
 
 
 _DENIAL_BY_FAULT = {
@@ -78,10 +79,12 @@
     age: ProcessAge,
     deadline_ms: float | None = None,
 ) -> Result[RouteMatch, StartDenial]:
-    """Return what the configuration says of a request that may begin, or why not.
+    """Return the matched route if the request may start, or why it may not.
 
-    `found` is None while this process has no configuration, `deadline_ms` while the
-    caller gives no time of its own.
+    `found` is None if this process has no configuration, `deadline_ms` if the caller
+    states no time limit of its own.
+
+    Errors: the reason for which the request does not start.
     """
     if found is None:
         return Failure(StartDenial.NO_CONFIG)
@@ -92,30 +95,30 @@
             return Failure(StartDenial.CONFIG_MAY_BE_OLD)
         return Failure(_DENIAL_BY_FAULT[found.failure().fault])
     match = found.unwrap()
-    if not _leaves_time(match.route, age, deadline_ms):
+    if not _can_finish(match.route, age, deadline_ms):
         return Failure(StartDenial.STOPPING)
     return Success(match)
 
 
 def _is_fresh(age: ProcessAge) -> bool:
-    return age.config_age_s is not None and age.config_age_s < CONFIG_FRESH_S
+    return age.config_age_s is not None and age.config_age_s < MAX_CONFIG_AGE_S
 
 
-def _leaves_time(route: Route, age: ProcessAge, deadline_ms: float | None) -> bool:
-    """Tell whether a request that comes now can end before a planned stop does.
+def _can_finish(route: Route, age: ProcessAge, deadline_ms: float | None) -> bool:
+    """Return whether a request that starts now can end before a planned stop does.
 
-    The platform may send callers for as long as the process runs, when too few others
-    are ready. A request that would be cut is refused, so that its caller goes to
-    another entry.
+    If too few other entries are ready, the platform may route callers here for as long
+    as the process runs. A request that would be cut is refused, so that its caller
+    tries another entry.
     """
-    if age.stopping_s is None or age.stopping_s < STOP_TAKES_STREAMS_S:
+    if age.stopping_s is None or age.stopping_s < STOP_ACCEPT_ALL_S:
         return True
     if route.kind is RouteKind.STREAM:
         return False
-    if age.stopping_s >= age.grace_s - STOP_LEAST_S:
+    if age.stopping_s >= age.grace_s - STOP_REFUSE_ALL_S:
         return False
-    time_ms = route.timeout_ms
+    limit_ms = route.timeout_ms
     if deadline_ms is not None:
-        time_ms = min(time_ms, deadline_ms)
-    ends_s = age.stopping_s + time_ms / 1_000.0
-    return ends_s <= age.grace_s - STOP_ENDED_S
+        limit_ms = min(limit_ms, deadline_ms)
+    latest_end_s = age.stopping_s + limit_ms / 1_000.0
+    return latest_end_s <= age.grace_s - STOP_MARGIN_S
--- a/packages/leadford/src/leadford/forwarding/routes/_model.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_model.py
@@ -1,7 +1,7 @@
-"""Hold the configuration of forwarded routes.
+"""Define the configuration of forwarded routes.
 
-Decoded from the platform's store by the adapter. Entries send each other the whole
-configuration by field name, so these names stay.
+The adapter decodes it from the platform's store. Entries send each other the whole
+configuration by field name, so the names must not change.
 """
 
 from enum import Enum
@@ -20,7 +20,7 @@
 
 
 class RouteKind(Enum):
-    """Say what a route carries and whether it may be repeated."""
+    """Name what kind of requests a route carries and whether they may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -28,7 +28,9 @@
 
 
 class StageSpec(msgspec.Struct, frozen=True):
-    """Name a stage that runs before a request, and the stages whose results it reads.
+    """Describe a stage that runs before a request, and the stages that it reads from.
+
+    `after` holds the indices of the stages whose results it reads.
 
     Units: result_bytes is the approximate size of one result.
     """
@@ -39,7 +41,7 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """Give a service its share of a route."""
+    """Assign a service its weight in a route."""
 
     service_id: ServiceId
     weight: float
@@ -67,22 +69,22 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Tell whether the route has the highest priority."""
+        """Return whether the route has the highest priority."""
         return self.priority == PRIORITY_HIGHEST
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+        """Return whether a request that may have run may be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.SAFE
 
 
 class PieceLimits(msgspec.Struct, frozen=True):
-    """Bound what an endpoint of a batched stage takes.
+    """Limit the load of an endpoint of a batched stage.
 
-    Units: call_ms and piece_ms are the time of a call and of each piece in it;
-    room_bytes holds results, each for at most retention_s.
+    Units: call_ms is the fixed duration of a call, and piece_ms is added for each piece
+    in it; room_bytes is the memory for results, each held for at most retention_s.
     """
 
     slots: int
@@ -94,12 +96,12 @@
     retention_s: float
 
     def duration_ms(self, pieces: int) -> float:
-        """Return the expected time of a call with so many pieces."""
+        """Return the expected duration of a call with a number of pieces."""
         return self.call_ms + pieces * self.piece_ms
 
     @property
     def full_call_s(self) -> float:
-        """Return the expected time of a full call.
+        """Return the expected duration of a full call.
 
         Units: seconds.
         """
@@ -107,16 +109,16 @@
 
 
 class EngineLimits(msgspec.Struct, frozen=True):
-    """Bound what a model engine takes."""
+    """Limit the load of a model engine."""
 
     slots: int
     memory_tokens: int
 
 
 class ColdLimits(msgspec.Struct, frozen=True):
-    """Bound what an endpoint takes while it is cold, from all entries together.
+    """Limit the request rate of a cold endpoint, from all entries together.
 
-    Units: per_s in requests a second; lasts_s is how long it stays cold, in seconds.
+    Units: per_s in requests per second; lasts_s is how long it stays cold, in seconds.
     """
 
     per_s: float
@@ -124,11 +126,12 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """Describe a service; `connections_max` of an endpoint holds for all entries.
+    """Describe a service; `connections_max` limits an endpoint over all entries.
 
-    Nothing asks `health_path`: outcomes of requests decide. It stays because entries
-    send this message to each other. `cold` is left out of that message where a service
-    has no such limits, so that entries of earlier versions send and read the same.
+    `health_path` is not used: request outcomes decide on health. It stays because
+    entries send this structure to each other. `cold` is omitted from that message if a
+    service has no such limits, so that entries of earlier versions send and read the
+    same.
     """
 
     service_id: ServiceId
@@ -140,12 +143,12 @@
 
     @property
     def cold_limits(self) -> ColdLimits | None:
-        """Return what bounds a cold endpoint of the service, if anything does."""
+        """Return the limits of a cold endpoint of the service, if there are any."""
         return None if isinstance(self.cold, msgspec.UnsetType) else self.cold
 
 
 class TrafficLimits(msgspec.Struct, frozen=True):
-    """Bound what a caller may send and how long a connection may rest."""
+    """Limit the size of requests, the header timeout and the idle time."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -154,7 +157,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """Hold a workspace and its keys; its priority goes before that of a route."""
+    """Describe a workspace and its keys; its priority overrides that of a route."""
 
     workspace_id: WorkspaceId
     keys: tuple[str, ...]
@@ -162,7 +165,7 @@
 
 
 class ForwardConfig(msgspec.Struct, frozen=True):
-    """Hold one version of everything that forwarding is configured by."""
+    """Hold one version of the whole configuration of forwarding."""
 
     version: ConfigVersion
     routes: tuple[Route, ...]
--- a/packages/leadford/src/leadford/forwarding/routes/_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_table.py
@@ -1,8 +1,8 @@
 """Look up the route and the workspace of a request.
 
-Answers from one version of the configuration: the longest prefix of the path for the
-host, the workspace of the key, one of the route's services drawn by weight. What
-follows from a failed look-up is decided in `_denial`.
+A lookup in one version of the configuration finds the route with the longest prefix of
+the path for the host, the workspace of the key, and one of the route's services, drawn
+by weight. `_denial` decides what follows from a failed lookup.
 """
 
 from enum import Enum
@@ -22,21 +22,21 @@
 
 
 class LookupFault(Enum):
-    """Say why a request has no route."""
+    """Name why a lookup failed."""
 
     NO_ROUTE = "no-route"
     NO_KEY = "no-key"
 
 
 class LookupFailure(msgspec.Struct, frozen=True):
-    """Describe a failed lookup and the version it was made with."""
+    """Describe a failed lookup and the configuration version that it used."""
 
     fault: LookupFault
     version: int
 
 
 class RouteMatch(msgspec.Struct, frozen=True):
-    """Hold what the configuration says of one request."""
+    """Hold the route, service, workspace and priority that apply to a request."""
 
     route: Route
     service: Service
@@ -46,7 +46,7 @@
 
 
 class RouteTable:
-    """Answer lookups in one version of the configuration."""
+    """Look up routes and workspaces in one version of the configuration."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         for route in config.routes:
             routes_by_host.setdefault(route.host.lower(), []).append(route)
         for routes in routes_by_host.values():
-            # The longest prefix wins, so it is tried first.
+            # `match` returns the first match, so the longest prefix comes first.
             routes.sort(key=lambda route: -len(route.path_prefix))
         workspaces_by_key = {
             key: workspace for workspace in config.workspaces for key in workspace.keys
@@ -79,8 +79,8 @@
 
     def match(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of the path."""
-        name = host.rsplit(":", 1)[0].lower()
-        for route in self.routes_by_host.get(name, ()):
+        host_name = host.rsplit(":", 1)[0].lower()
+        for route in self.routes_by_host.get(host_name, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
@@ -88,7 +88,10 @@
     def lookup(
         self, host: str, path: str, api_key: str | None, random: Random
     ) -> Result[RouteMatch, LookupFailure]:
-        """Return what holds for a request, or why it is not allowed."""
+        """Return the route and workspace of a request, or why there are none.
+
+        Errors: the host and path match no route, or the route needs a valid key.
+        """
         version = self.config.version
         route = self.match(host, path)
         if route is None:
@@ -116,13 +119,13 @@
 
 
 def choose_service(route: Route, random: Random) -> ServiceId:
-    """Draw one of the services of a route by weight."""
+    """Draw one of the services of a route at random by weight."""
     if len(route.services) == 1:
         return route.services[0].service_id
-    point = random.uniform(0.0, sum(part.weight for part in route.services))
-    for part in route.services:
-        point -= part.weight
+    point = random.uniform(0.0, sum(candidate.weight for candidate in route.services))
+    for candidate in route.services:
+        point -= candidate.weight
         if point < 0.0:
-            return part.service_id
-    weighted = [part for part in route.services if part.weight > 0.0]
+            return candidate.service_id
+    weighted = [candidate for candidate in route.services if candidate.weight > 0.0]
     return (weighted or route.services)[-1].service_id
--- a/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
@@ -1,4 +1,4 @@
-"""A request begins only by a configuration that surely allows it, with time left."""
+"""Test that a request starts only if the configuration allows it and time remains."""
 
 import msgspec
 import pytest
@@ -95,7 +95,7 @@
 
 
 def test_a_plain_request_that_a_stop_may_cut_does_not_begin():
-    # At 3.2 s a route of 4 s has had its time 0.8 s before the grace period ends.
+    # A request of 4 s that starts at 3.2 s ends 0.8 s before the grace period does.
     found = plain(4_000.0)
     assert decide_start(found, age(stopping_s=3.2)) == found
     denied = decide_start(found, age(stopping_s=3.3))
--- a/packages/leadford/src/leadford/forwarding/routes/tests/test_parts.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""A configuration arrives whole in parts, whatever comes in force meanwhile."""
+"""Test that a configuration arrives complete in parts, even if it changes meanwhile."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
     TrafficLimits,
     WeightedService,
 )
-from leadford.forwarding.routes._parts import PART_BYTES, VERSIONS_KEPT
+from leadford.forwarding.routes._parts import MAX_VERSIONS, PART_BYTES
 
 
 def config(version, routes=2_000):
@@ -42,13 +42,13 @@
     )
 
 
-def download(parts, in_force, download_to, *, version=0, offset=0):
-    """Fetch until a configuration is whole; return it with the sizes of the parts."""
+def download(parts, in_force, receiver, *, version=0, offset=0):
+    """Fetch a complete configuration; return it with the sizes of its parts."""
     sizes = []
     while True:
         part = parts.part(in_force, version, offset)
         sizes.append(len(part.data))
-        added = download_to.add(part).unwrap()
+        added = receiver.add(part).unwrap()
         if added is not None:
             return added, sizes
         version = part.version
@@ -65,61 +65,67 @@
 
 def test_a_version_that_is_on_its_way_is_sent_to_its_end():
     parts = ConfigParts()
-    to = ConfigDownload()
-    first = parts.part(config(7), 0, 0)
-    assert to.add(first) == Success(None)
-    # A newer one comes in force at the sender.
+    receiver = ConfigDownload()
+    first_part = parts.part(config(7), 0, 0)
+    assert receiver.add(first_part) == Success(None)
+    # A newer version becomes active at the sender.
     received, _ = download(
-        parts, config(8), to, version=first.version, offset=len(first.data)
+        parts,
+        config(8),
+        receiver,
+        version=first_part.version,
+        offset=len(first_part.data),
     )
     assert received.version == 7
 
 
 def test_a_version_that_is_no_longer_kept_is_begun_anew_with_the_newest():
     parts = ConfigParts()
-    to = ConfigDownload()
-    first = parts.part(config(7), 0, 0)
-    assert to.add(first) == Success(None)
-    for version in range(8, 8 + VERSIONS_KEPT):
+    receiver = ConfigDownload()
+    first_part = parts.part(config(7), 0, 0)
+    assert receiver.add(first_part) == Success(None)
+    for version in range(8, 8 + MAX_VERSIONS):
         newest = config(version)
         parts.part(newest, 0, 0)
-    assert len(parts.data_by_version_) == VERSIONS_KEPT
-    received, _ = download(parts, newest, to, version=7, offset=len(first.data))
+    assert len(parts.data_by_version_) == MAX_VERSIONS
+    received, _ = download(
+        parts, newest, receiver, version=7, offset=len(first_part.data)
+    )
     assert received == newest
 
 
 def test_a_part_that_does_not_fit_is_not_used():
     parts = ConfigParts()
-    to = ConfigDownload()
-    first = parts.part(config(7), 0, 0)
-    assert to.fits(first)
-    assert to.add(first) == Success(None)
-    # It has come already, or one before it has not.
-    assert not to.fits(first)
-    assert not to.fits(parts.part(config(7), 7, 2 * PART_BYTES))
-    assert to.fits(parts.part(config(7), 7, PART_BYTES))
-    # Nothing of an older version, and of a newer one only its beginning.
-    older = msgspec.structs.replace(first, version=6)
-    assert not to.fits(older)
-    newer = msgspec.structs.replace(first, version=8)
-    assert to.fits(newer)
-    assert not to.fits(msgspec.structs.replace(newer, offset=PART_BYTES))
+    receiver = ConfigDownload()
+    first_part = parts.part(config(7), 0, 0)
+    assert receiver.fits(first_part)
+    assert receiver.add(first_part) == Success(None)
+    # The part was already received, or the one before it is missing.
+    assert not receiver.fits(first_part)
+    assert not receiver.fits(parts.part(config(7), 7, 2 * PART_BYTES))
+    assert receiver.fits(parts.part(config(7), 7, PART_BYTES))
+    # No part of an older version fits, and of a newer one only the first part.
+    older = msgspec.structs.replace(first_part, version=6)
+    assert not receiver.fits(older)
+    newer = msgspec.structs.replace(first_part, version=8)
+    assert receiver.fits(newer)
+    assert not receiver.fits(msgspec.structs.replace(newer, offset=PART_BYTES))
 
 
 def test_parts_of_one_version_may_come_from_several_peers():
     sent = config(7)
     one, other = ConfigParts(), ConfigParts()
-    to = ConfigDownload()
-    assert to.add(one.part(sent, 0, 0)) == Success(None)
-    received, _ = download(other, sent, to, version=7, offset=to.offset)
+    receiver = ConfigDownload()
+    assert receiver.add(one.part(sent, 0, 0)) == Success(None)
+    received, _ = download(other, sent, receiver, version=7, offset=receiver.offset)
     assert received == sent
 
 
 def test_spoiled_data_is_no_configuration_and_is_not_kept():
     part = ConfigParts().part(config(7, routes=1), 0, 0)
     spoiled = msgspec.structs.replace(part, data=b"spoiled", total=7)
-    to = ConfigDownload()
-    assert isinstance(to.add(spoiled), Failure)
-    assert to.offset == 0
-    assert not to.fits(msgspec.structs.replace(part, data=b""))
-    assert to.add(part).unwrap() == config(7, routes=1)
+    receiver = ConfigDownload()
+    assert isinstance(receiver.add(spoiled), Failure)
+    assert receiver.offset == 0
+    assert not receiver.fits(msgspec.structs.replace(part, data=b""))
+    assert receiver.add(part).unwrap() == config(7, routes=1)
--- a/packages/leadford/src/leadford/forwarding/routes/tests/test_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Routes and workspaces are found as the configuration says."""
+"""Test the lookup of routes and workspaces."""
 
 from random import Random
 
