--- a/packages/leadford/src/leadford/forwarding/history/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/history/__init__.py
@@ -1,4 +1,4 @@
-"""Order what the store says over the histories that it has had."""
+"""Order data from the store by epoch and revision, across restorations of the store."""
 
 from leadford.forwarding.history._epochs import AnswerAge, StoreEpochs
 from leadford.forwarding.history._position import (
--- a/packages/leadford/src/leadford/forwarding/history/_epochs.py
+++ b/packages/leadford/src/leadford/forwarding/history/_epochs.py
@@ -1,7 +1,7 @@
-"""Know which history of the store is the present one, and whose news belong to it.
+"""Track the current epoch of the store, and detect data from earlier epochs.
 
-Owned by the client of the store, and asked by all that compares positions. The epoch
-only rises: an answer or a message from an earlier one tells of a history that is over.
+Owned by the client of the store, and used by all code that compares positions. The
+epoch only increases: an answer or a message with an earlier one is obsolete.
 """
 
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 
 
 class AnswerAge(Enum):
-    """Say from which history an answer of the store comes.
+    """Name how the epoch of a store's answer compares with the current one.
 
-    RESTORED: from a later one than was known. PAST: from one that is over.
+    RESTORED: it is later, so the store was restored. PAST: it is earlier.
     """
 
     PRESENT = "present"
@@ -22,9 +22,9 @@
 
 
 class StoreEpochs:
-    """Know the newest epoch that the store, or another entry, has told.
+    """Keep the newest epoch that the store or another entry has reported.
 
-    Each of `listeners_` is called once the epoch has risen.
+    Each of `listeners_` is called when the epoch has increased.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self.listeners_: list[Callable[[], None]] = []
 
     def record_answer(self, epoch: StoreEpoch | None) -> AnswerAge:
-        """Record the epoch of an answer of the store, None where it tells none."""
+        """Record the epoch of an answer of the store, None if it has none."""
         if epoch is None:
             return AnswerAge.PRESENT
         if epoch < self.current_:
@@ -45,13 +45,13 @@
         return AnswerAge.RESTORED if has_risen else AnswerAge.PRESENT
 
     def record_told(self, epoch: StoreEpoch) -> bool:
-        """Record the epoch that another entry knows; return whether it has risen."""
+        """Record the epoch of another entry; return whether the epoch has increased."""
         return self._raise_to(epoch, was_known=self._is_known)
 
     def of_untold(self) -> StoreEpoch:
-        """Return the epoch of news from a build that tells none.
+        """Return the epoch to assume for data from a build that sends none.
 
-        Once another epoch has begun, such news may come from before it.
+        After the epoch has increased, such data may come from an earlier one.
         """
         return FIRST_EPOCH if self.has_risen_ else self.current_
 
@@ -60,7 +60,7 @@
         return self.is_told_ or self.current_ > FIRST_EPOCH
 
     def _raise_to(self, epoch: StoreEpoch, *, was_known: bool) -> bool:
-        """Return whether the epoch has risen; the first one that is told has not."""
+        """Return whether the epoch has increased; the first one does not count."""
         if epoch <= self.current_:
             return False
         self.current_ = epoch
--- a/packages/leadford/src/leadford/forwarding/history/_position.py
+++ b/packages/leadford/src/leadford/forwarding/history/_position.py
@@ -1,8 +1,8 @@
-"""Say where in the history of the store something was written or confirmed.
+"""Define positions in the history of the store by epoch and revision.
 
-A store that is restored from a copy has lost what came after the copy, and gives the
-same revisions out again. So a revision orders news only within one epoch; the epoch,
-which rises with each restoration, goes before it.
+A store that is restored from a copy has lost all later writes and assigns the same
+revisions again. So revisions are ordered only within one epoch. The epoch increases
+with each restoration and is compared first.
 """
 
 from typing import NewType
@@ -11,16 +11,16 @@
 
 StoreEpoch = NewType("StoreEpoch", int)
 
-# The epoch of a store that tells none.
+# The epoch of a store that reports none.
 FIRST_EPOCH = StoreEpoch(0)
 
 
 class StorePosition(msgspec.Struct, frozen=True, order=True):
-    """Order what the store has said: by epoch, and within it by revision."""
+    """Order data from the store by epoch, and within an epoch by revision."""
 
     epoch: StoreEpoch
     revision: int
 
 
-# The position of whoever knows nothing.
+# The position before any data from the store is known.
 START = StorePosition(FIRST_EPOCH, 0)
