--- a/packages/leadford/src/leadford/forwarding/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/__init__.py
@@ -1,9 +1,9 @@
-"""Decisions of the entry that the users' platform runs: requests forwarded unaltered.
+"""Decide how entries of the users' platform forward requests, which stay unaltered.
 
-One subpackage a rule, in the order in which a request meets them: `routes` looks it up,
-`admission` lets it begin, `batching` runs its stages, `endpoints` chooses who answers,
-`retries` says what may follow a failed attempt, `answers` what the caller is told;
-`membership` says which entries work together, `history` orders what the store says.
-`leadford_server.forwarding` carries them out. Nothing here is used by
-`leadford.pipelines`, nor the other way round.
+Each subpackage decides one question, in the order in which they arise for a request:
+`routes` looks it up, `admission` admits it, `batching` runs its stages, `endpoints`
+chooses an endpoint, `retries` decides what follows a failed attempt, and `answers`
+decides the response to the caller. `membership` determines which entries work together,
+and `history` orders data from the store. `leadford_server.forwarding` executes these
+decisions. `leadford.pipelines` and this package do not use each other.
 """
--- a/packages/leadford/src/leadford/forwarding/tests/test_wire_between_entries.py
+++ b/packages/leadford/src/leadford/forwarding/tests/test_wire_between_entries.py
@@ -1,4 +1,4 @@
-"""What running entries send each other is read, and sent the same."""
+"""Test that the wire format between entries of different versions stays compatible."""
 
 import cbor2
 import msgspec
@@ -39,8 +39,9 @@
     encode,
 )
 
-# Kept as bytes: another form would part entries of two versions during an upgrade. The
-# configuration and the listing travel by field name, the messages of a frame as arrays.
+# Fixed bytes: entries of two versions could not communicate during an upgrade if the
+# format changed. The configuration and the listing are encoded by field name, and the
+# messages of a frame as arrays.
 CONFIG = bytes.fromhex(
     "85a776657273696f6e24a6726f75746573918da8726f7574655f6964a27231a4686f7374ad72"
     "6f6f6d732e6578616d706c65ab706174685f707265666978a62f68696e742fa46b696e64a673"
@@ -94,13 +95,13 @@
     assert msgspec.msgpack.encode(listed) == LISTING
 
 
-# The same, where heartbeats tell the oldest version among the links of an entry.
+# The same frame, with the lowest protocol version among an entry's links in heartbeats.
 VERSIONED_FRAME = bytes.fromhex(
     FRAME.hex()
     .replace("871821184d", "881821184d", 1)
     .replace("8363692d31190bb801", "8363692d31190bb80106", 1)
 )
-# The same, where listings are told with the epoch of the store.
+# The same frame, with the epoch of the store next to each revision of the listing.
 EPOCH_FRAME = bytes.fromhex(
     VERSIONED_FRAME.hex()
     .replace("881821184d", "891821184d", 1)
@@ -132,14 +133,14 @@
 
 @given(st.data())
 def test_frames_of_a_later_build_are_read_as_far_as_they_are_known(data):
-    whole = [EPOCH_FRAME, *map(bytes.fromhex, FLEET_MESSAGES)]
-    known = data.draw(st.sampled_from(whole))
+    known_frames = [EPOCH_FRAME, *map(bytes.fromhex, FLEET_MESSAGES)]
+    known = data.draw(st.sampled_from(known_frames))
     version, messages = cbor2.loads(known)
-    later = [[*message, *data.draw(LATER_FIELDS)] for message in messages]
+    later_messages = [[*message, *data.draw(LATER_FIELDS)] for message in messages]
     unknown = data.draw(st.lists(LATER_MESSAGE, max_size=3))
-    at = data.draw(st.integers(0, len(later)))
-    later[at:at] = unknown
-    frame = decode(cbor2.dumps([version, later])).unwrap()
+    index = data.draw(st.integers(0, len(later_messages)))
+    later_messages[index:index] = unknown
+    frame = decode(cbor2.dumps([version, later_messages])).unwrap()
     assert len(frame.skipped) == len(unknown)
     assert frame.messages == decode(known).unwrap().messages
 
@@ -193,7 +194,7 @@
     assert decode(bytes.fromhex(data)).unwrap().messages == [message]
 
 
-# As builds write them that tell no epoch of the store.
+# As encoded by builds that send no epoch of the store.
 MESSAGES_WITHOUT_EPOCH = {
     "82038183182cfb4097700000000000818567736572766572730c0900fb40938a0000000000": (
         StoreConfirmations(1500.0, [StoreConfirmation("servers", 12, 9, 0, 1250.5, 0)])
