--- a/packages/leadford/src/leadford/forwarding/admission/_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_decision.py
@@ -14,9 +14,9 @@
 - A retry that can no longer meet the target is admitted only while the queues are
   short: its pieces are queued behind all others, and holding it is useless if it then
   starves.
-- No limit exceeds a fixed fraction of the time that the caller allows.
+- No limit exceeds a fixed fraction of the allowed time.
 
-A retry is here a request that its caller sends again after a refusal.
+Here, a retry is a request that its caller sends again after a refusal.
 
 `leadford.forwarding.answers` decides the response to the caller, and
 `leadford.forwarding.batching` the order of the pieces. Admission in
@@ -59,7 +59,7 @@
 # Delay with which an entry may learn of a refusal, and time by which a first try
 # precedes its refusal: slightly more than a heartbeat interval.
 REFUSAL_NEWS_DELAY_S = 0.5
-# Fraction of the time allowed by the caller that no expected response time may exceed.
+# Fraction of the allowed time that no expected response time may exceed.
 DEADLINE_FRACTION = 0.85
 # Fraction of the slack that the backlog may still take when a refused request is
 # retried.
--- a/packages/leadford/src/leadford/forwarding/admission/_forecast.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_forecast.py
@@ -14,7 +14,7 @@
 
 # Fraction of the pieces of less urgent routes that counts as ahead of an urgent
 # request: pieces that have waited long go first, and running calls are not interrupted.
-# The value fits LESS_URGENT_S of `batching/_queue`; change them only together.
+# The value is only known to work together with LESS_URGENT_S of `batching/_queue`.
 LESS_URGENT_FRACTION = 0.1
 # Time that an engine takes to read results.
 ENGINE_READ_S = 0.2
--- a/packages/leadford/src/leadford/forwarding/answers/_final.py
+++ b/packages/leadford/src/leadford/forwarding/answers/_final.py
@@ -27,7 +27,7 @@
 
 
 class RequestOutcome(Enum):
-    """Name how a request ended; the values appear in logs and metrics."""
+    """Enumerate the outcomes of a request; the values appear in logs and metrics."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -39,11 +39,10 @@
 
 
 class EndReason(Enum):
-    """Name why a request ended as it did; the values appear in the log of its end.
+    """Enumerate why a request ended; the values appear in the log of its end.
 
     The values of `routes.StartDenial` are included. HELD_BACK: every endpoint of the
-    service asked for a lower request rate than callers send. FAULT is an error of this
-    process.
+    service asked for fewer requests than callers send. FAULT: an error of this process.
     """
 
     ANSWERED = "answered"
--- a/packages/leadford/src/leadford/forwarding/history/_epochs.py
+++ b/packages/leadford/src/leadford/forwarding/history/_epochs.py
@@ -11,7 +11,7 @@
 
 
 class AnswerAge(Enum):
-    """Name how the epoch of a store's answer compares with the current one.
+    """Enumerate how the epoch of a store's answer compares with the current one.
 
     RESTORED: it is later, so the store was restored. PAST: it is earlier.
     """
--- a/packages/leadford/src/leadford/forwarding/routes/_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_denial.py
@@ -19,7 +19,7 @@
 
 # Time since the last confirmation by the store after which a missing route or key may
 # exist in a newer configuration that this process does not know.
-MAX_CONFIG_AGE_S = 6.0
+MAX_DENIAL_CONFIG_AGE_S = 6.0
 # A configuration known to be stale is no longer used from this long before the
 # deployment's bound on stale configurations: heartbeats report a newer one up to 0.2 s
 # after it became active at the sender.
@@ -35,7 +35,7 @@
 
 
 class StartDenial(Enum):
-    """Name why a request does not start."""
+    """Enumerate the reasons why a request does not start."""
 
     NO_CONFIG = "no-config"
     NO_ROUTE = "no-route"
@@ -101,7 +101,7 @@
 
 
 def _is_fresh(age: ProcessAge) -> bool:
-    return age.config_age_s is not None and age.config_age_s < MAX_CONFIG_AGE_S
+    return age.config_age_s is not None and age.config_age_s < MAX_DENIAL_CONFIG_AGE_S
 
 
 def _can_finish(route: Route, age: ProcessAge, deadline_ms: float | None) -> bool:
--- a/packages/leadford/src/leadford/forwarding/routes/_model.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_model.py
@@ -20,7 +20,7 @@
 
 
 class RouteKind(Enum):
-    """Name what kind of requests a route carries and whether they may be repeated."""
+    """Enumerate what a route carries and whether it may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
--- a/packages/leadford/src/leadford/forwarding/routes/_table.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_table.py
@@ -22,7 +22,7 @@
 
 
 class LookupFault(Enum):
-    """Name why a lookup failed."""
+    """Enumerate the reasons why a lookup fails."""
 
     NO_ROUTE = "no-route"
     NO_KEY = "no-key"
