--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
@@ -158,8 +158,8 @@
     later = fixture.decide(now=1.8, asked_s=6.2)
     assert (later.verdict, later.is_late) == (Verdict.ADMIT, True)
     # A first try with a shorter timeout than others is no retry.
-    newcomer = fixture.decide(fingerprint="new", now=1.8, asked_s=6.2)
-    assert (newcomer.first_try_s, newcomer.is_late) == (0.0, False)
+    first_try = fixture.decide(fingerprint="new", now=1.8, asked_s=6.2)
+    assert (first_try.first_try_s, first_try.is_late) == (0.0, False)
 
 
 def test_a_caller_that_waits_longer_than_others_makes_no_return_late():
--- a/packages/leadford/src/leadford/forwarding/answers/_final.py
+++ b/packages/leadford/src/leadford/forwarding/answers/_final.py
@@ -2,7 +2,7 @@
 
 Status 503 promises that the request did not run, so it is sent only if no attempt may
 have run. If one may have run, the caller gets 502. If a part of an answer has already
-been written, no status can be sent any more, and the connection is closed.
+been written, no status can be sent any more, and the connection is aborted.
 
 Called by the request forwarder for each request that ends without an endpoint's answer.
 `retries` decides whether another attempt is made, and the adapter formats the retry
@@ -66,7 +66,7 @@
 class FinalAnswer(msgspec.Struct, frozen=True):
     """Describe a response that this process generates itself.
 
-    Units: status is 0 if the connection is closed instead; retry_after_s in seconds,
+    Units: status is 0 if the connection is aborted instead; retry_after_s in seconds,
     None if the response states no retry delay.
     """
 
@@ -117,7 +117,7 @@
 
 
 def quarantined_text(retry_after_s: float, *, may_have_run: bool) -> str:
-    """Return the response text for a request that ended the endpoints that ran it.
+    """Return the response text for a request under which endpoints ended.
 
     Units: seconds.
     """
--- a/packages/leadford/src/leadford/forwarding/history/_epochs.py
+++ b/packages/leadford/src/leadford/forwarding/history/_epochs.py
@@ -60,7 +60,7 @@
         return self.is_told_ or self.current_ > FIRST_EPOCH
 
     def _raise_to(self, epoch: StoreEpoch, *, was_known: bool) -> bool:
-        """Return whether the epoch has increased; the first one does not count."""
+        """Return whether the epoch has increased; the first reported does not count."""
         if epoch <= self.current_:
             return False
         self.current_ = epoch
