--- a/packages/leadford/src/leadford/forwarding/endpoints/_address.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_address.py
@@ -2,13 +2,13 @@
 
 import ipaddress
 
-PORT_MOST = 65_535
+MAX_PORT = 65_535
 
 
 def is_dialable(address: str) -> bool:
     """Tell whether an address is one of a host and a port, by numbers."""
     host, _, port = address.rpartition(":")
-    if not (port.isascii() and port.isdigit() and 0 < int(port) <= PORT_MOST):
+    if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
         return False
     try:
         ip = ipaddress.IPv4Address(host)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
@@ -14,7 +14,7 @@
 from leadford.forwarding.endpoints._record import EndpointRecord
 
 # Answers that an endpoint must have given before its slowness counts.
-SLOWNESS_NEEDED = 3
+SLOWNESS_MIN_ANSWERS = 3
 
 
 class ChoicePolicy(msgspec.Struct, frozen=True):
@@ -24,14 +24,14 @@
     """
 
     # An endpoint in another hall, and one that is still cold.
-    other_hall: float = 0.35
+    other_hall_cost: float = 0.35
     # An endpoint whose recent requests all failed.
-    failure: float = 2.0
+    failure_cost: float = 2.0
     # One that takes twice as long as the fastest, and the most times that count.
-    slowness: float = 0.3
-    slowness_most: float = 3.0
+    slowness_cost: float = 0.3
+    max_slowness: float = 3.0
     # The most that chance adds, so that entries do not all choose the same.
-    jitter: float = 0.05
+    max_jitter: float = 0.05
 
 
 class EndpointChooser:
@@ -64,26 +64,26 @@
         )
         for record in trusted or candidates:
             score = self.score(record, now=now)
-            score += self._slowness(record, fastest_ms)
+            score += self._slowness_cost(record, fastest_ms)
             if score < best_score:
                 best, best_score = record, score
         return best
 
-    def _slowness(self, record: EndpointRecord, fastest_ms: float) -> float:
+    def _slowness_cost(self, record: EndpointRecord, fastest_ms: float) -> float:
         """Return the cost of an endpoint that answers slower than others."""
-        if record.latency_ms_.count_ < SLOWNESS_NEEDED or fastest_ms <= 0.0:
+        if record.latency_ms_.count_ < SLOWNESS_MIN_ANSWERS or fastest_ms <= 0.0:
             return 0.0
-        beyond = record.latency_ms_.value_ / fastest_ms - 1.0
-        return self.policy.slowness * min(self.policy.slowness_most, beyond)
+        excess = record.latency_ms_.value_ / fastest_ms - 1.0
+        return self.policy.slowness_cost * min(self.policy.max_slowness, excess)
 
     def score(self, record: EndpointRecord, *, now: float) -> float:
         """Return the cost of an endpoint, without its slowness."""
         policy = self.policy
         work = record.in_flight_ + record.waiting_elsewhere(now)
         score = work / max(1, record.listed.slots)
-        score += policy.failure * record.failure_rate_.value_
+        score += policy.failure_cost * record.failure_rate_.value_
         if record.listed.hall != self.hall:
-            score += policy.other_hall
+            score += policy.other_hall_cost
         if record.is_cold(now):
-            score += policy.other_hall
-        return score + self.random.uniform(0.0, policy.jitter)
+            score += policy.other_hall_cost
+        return score + self.random.uniform(0.0, policy.max_jitter)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_cold.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_cold.py
@@ -19,9 +19,9 @@
 # Entries that use a cold endpoint, as a part of the requests it bears in a second. Each
 # may send one at once and its share of the rate, so in any second they send at most 1.5
 # times that rate.
-ENTRIES_PART = 0.5
+ENTRIES_PER_REQUEST_PER_S = 0.5
 # Requests that an entry may send at once to a cold endpoint.
-BURST = 1.0
+BURST_REQUESTS = 1.0
 
 
 class _ColdShare(msgspec.Struct, eq=False):
@@ -80,10 +80,10 @@
     def _new_share(self, endpoint_id: EndpointId, limits: ColdLimits) -> _ColdShare:
         """Return the share of this entry, if it is one of those that have any."""
         entry_ids = self.entry_ids_ | {self.entry_id}
-        count = max(1, int(limits.per_s * ENTRIES_PART))
+        count = max(1, int(limits.per_s * ENTRIES_PER_REQUEST_PER_S))
         chosen = rendezvous_order(endpoint_id, entry_ids)[:count]
         bucket = None
         if self.entry_id in chosen:
             rate_per_s = limits.per_s / len(chosen)
-            bucket = TokenBucket(rate_per_s=rate_per_s, burst=BURST)
+            bucket = TokenBucket(rate_per_s=rate_per_s, burst=BURST_REQUESTS)
         return _ColdShare(limits, bucket)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_connections.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_connections.py
@@ -6,25 +6,29 @@
 """
 
 # Part of an endpoint's bound that all entries together hold at most.
-CONNECTIONS_PART = 0.95
+CONNECTIONS_FRACTION = 0.95
 # Seconds that a connection rests where the endpoint says nothing.
-REST_DEFAULT_S = 8.0
+DEFAULT_IDLE_TIMEOUT_S = 8.0
 # Seconds before an endpoint closes a resting connection at which it is not used any
 # more.
-REST_MARGIN_S = 0.6
+IDLE_TIMEOUT_MARGIN_S = 0.6
 
 
 def connections_allowed(connections_max: int, entry_count: int) -> int:
     """Return how many connections one of so many entries holds to an endpoint."""
-    bound = int(connections_max * CONNECTIONS_PART)
+    bound = int(connections_max * CONNECTIONS_FRACTION)
     return max(1, bound // max(1, entry_count))
 
 
-def may_use_again(idle_s: float, rest_s: float | None) -> bool:
+def may_use_again(idle_s: float, idle_timeout_s: float | None) -> bool:
     """Tell whether a connection that was idle is used for another request.
 
     Units: seconds. rest_s is how long the endpoint keeps idle connections, None where
     it did not say.
     """
-    allowed_s = REST_DEFAULT_S if rest_s is None else rest_s - REST_MARGIN_S
-    return idle_s < allowed_s
+    max_idle_s = (
+        DEFAULT_IDLE_TIMEOUT_S
+        if idle_timeout_s is None
+        else idle_timeout_s - IDLE_TIMEOUT_MARGIN_S
+    )
+    return idle_s < max_idle_s
--- a/packages/leadford/src/leadford/forwarding/endpoints/_halls.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_halls.py
@@ -15,9 +15,9 @@
 
 # Halls whose evacuation is over and still remembered, so that an older notice does not
 # bring it back; far more than a fleet has.
-HALLS_KEPT = 2_000
+MAX_HALLS_COUNT = 2_000
 # Seconds for which a hall stays evacuated after a restored store lacks its evacuation.
-LOST_KEPT_S = 6.0
+LOST_EVACUATION_S = 6.0
 
 
 class HallNotice(msgspec.Struct, frozen=True):
@@ -89,7 +89,9 @@
             if not notice.is_evacuated or hall in seen:
                 continue
             if notice.epoch < position.epoch:
-                self.lost_by_hall_.setdefault(hall, _Lost(position, now + LOST_KEPT_S))
+                self.lost_by_hall_.setdefault(
+                    hall, _Lost(position, now + LOST_EVACUATION_S)
+                )
                 continue
             listed.append(HallNotice(hall, position.revision, False, position.epoch))
         self.is_known_ = True
@@ -97,12 +99,12 @@
 
     def expire(self, now: float) -> list[HallNotice]:
         """Give halls back whose evacuation was not written again; return which."""
-        over = [
+        ended = [
             HallNotice(hall, lost.position.revision, False, lost.position.epoch)
             for hall, lost in self.lost_by_hall_.items()
             if now >= lost.until
         ]
-        return [notice for notice in over if self.record(notice)]
+        return [notice for notice in ended if self.record(notice)]
 
     def is_evacuated(self, hall: HallId) -> bool:
         """Tell whether a hall gets no new work."""
@@ -117,7 +119,7 @@
 
     def _forget_oldest(self) -> None:
         for hall in list(self.by_hall_):
-            if len(self.by_hall_) <= HALLS_KEPT:
+            if len(self.by_hall_) <= MAX_HALLS_COUNT:
                 return
             if not self.by_hall_[hall].is_evacuated:
                 del self.by_hall_[hall]
--- a/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
@@ -17,20 +17,20 @@
 
 # Entries that use a limited endpoint. Each may send one request beyond its part of the
 # rate, and an endpoint bears five at once beyond what it names.
-SHARERS_MAX = 4
+MAX_SHARERS = 4
 # Requests that an entry may send at once.
-BURST = 1.0
+BURST_REQUESTS = 1.0
 # Requests a second that an endpoint gets at least: only an answer tells that a limit
 # is over.
-RATE_LEAST_PER_S = 0.25
+MIN_RATE_PER_S = 0.25
 # Seconds after which an entry without a part asks an endpoint by itself, if nobody has
 # told of the limit since.
-UNHEARD_KEPT_S = 30.0
+UNREPORTED_LIMIT_S = 30.0
 # Seconds that news may take to an entry and back: a little more than twice the silence
 # after which a peer no longer counts as alive.
-THERE_AND_BACK_S = 2.0
+ROUND_TRIP_S = 2.0
 # Seconds for which the end of a limit is told.
-ENDED_TOLD_S = 10.0
+ENDED_REPORT_S = 10.0
 
 
 class KnownLimit(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
         self.known_by_id_: dict[EndpointId, KnownLimit] = {}
         self.bucket_by_id_: dict[EndpointId, TokenBucket] = {}
         # When this entry, without a part, last asked an endpoint by itself.
-        self.asked_at_by_id_: dict[EndpointId, float] = {}
+        self.probed_at_by_id_: dict[EndpointId, float] = {}
 
     def set_entries(self, entry_ids: Collection[EntryId]) -> None:
         """Share limits over the entries that exist; what was sent stays counted."""
@@ -86,8 +86,8 @@
         known = self.known_by_id_.get(heard.endpoint_id)
         if known is not None:
             # Ages leave out the way of a message: what is told again is no news by it.
-            least_s = THERE_AND_BACK_S if heard.per_s == known.per_s else 0.0
-            if heard.known_at <= known.known_at + least_s:
+            min_gain_s = ROUND_TRIP_S if heard.per_s == known.per_s else 0.0
+            if heard.known_at <= known.known_at + min_gain_s:
                 return
         if heard.per_s is not None:
             self.known_by_id_[heard.endpoint_id] = heard
@@ -97,7 +97,7 @@
     def known(self, now: float) -> list[KnownLimit]:
         """Return what other entries have to hear: limits, and those just over."""
         for limit in list(self.known_by_id_.values()):
-            if limit.per_s is None and now - limit.known_at > ENDED_TOLD_S:
+            if limit.per_s is None and now - limit.known_at > ENDED_REPORT_S:
                 self._forget(limit.endpoint_id)
         return list(self.known_by_id_.values())
 
@@ -118,8 +118,8 @@
             return 0.0
         bucket = self._bucket(known, now, is_alone=is_alone)
         if bucket is None:
-            asked_at = self.asked_at_by_id_.get(endpoint_id, known.known_at)
-            return max(0.0, max(known.known_at, asked_at) + UNHEARD_KEPT_S - now)
+            probed_at = self.probed_at_by_id_.get(endpoint_id, known.known_at)
+            return max(0.0, max(known.known_at, probed_at) + UNREPORTED_LIMIT_S - now)
         return bucket.wait_s(now)
 
     def record_sent(
@@ -133,13 +133,13 @@
         if bucket is not None:
             bucket.try_take(now)
         else:
-            self.asked_at_by_id_[endpoint_id] = now
+            self.probed_at_by_id_[endpoint_id] = now
 
     def retain(self, endpoint_ids: Collection[EndpointId], now: float) -> None:
         """Forget endpoints that left; one that a store forgot may be listed again."""
         kept = set(endpoint_ids)
         for endpoint_id in self.known_by_id_.keys() - kept:
-            if now - self.known_by_id_[endpoint_id].known_at > UNHEARD_KEPT_S:
+            if now - self.known_by_id_[endpoint_id].known_at > UNREPORTED_LIMIT_S:
                 self._forget(endpoint_id)
 
     def _end(self, limit: KnownLimit) -> None:
@@ -150,7 +150,7 @@
         self.known_by_id_.pop(endpoint_id, None)
         self.bucket_by_id_.pop(endpoint_id, None)
         self.sharers_by_id_.pop(endpoint_id, None)
-        self.asked_at_by_id_.pop(endpoint_id, None)
+        self.probed_at_by_id_.pop(endpoint_id, None)
 
     def _bucket(
         self, known: KnownLimit, now: float, *, is_alone: bool
@@ -159,10 +159,10 @@
         sharers = 1 if is_alone else self._sharers(known.endpoint_id)
         if sharers == 0:
             return None
-        rate_per_s = max(RATE_LEAST_PER_S, known.per_s) / sharers
+        rate_per_s = max(MIN_RATE_PER_S, known.per_s) / sharers
         bucket = self.bucket_by_id_.get(known.endpoint_id)
         if bucket is None:
-            bucket = TokenBucket(rate_per_s=rate_per_s, burst=BURST)
+            bucket = TokenBucket(rate_per_s=rate_per_s, burst=BURST_REQUESTS)
             self.bucket_by_id_[known.endpoint_id] = bucket
         elif bucket.rate_per_s != rate_per_s:
             bucket.refill(now)
@@ -173,7 +173,7 @@
         """Return how many entries share a limit with this one; 0 if it has no part."""
         count = self.sharers_by_id_.get(endpoint_id)
         if count is None:
-            sharers = rendezvous_order(endpoint_id, self.entry_ids_)[:SHARERS_MAX]
+            sharers = rendezvous_order(endpoint_id, self.entry_ids_)[:MAX_SHARERS]
             count = len(sharers) if self.entry_id in sharers else 0
             self.sharers_by_id_[endpoint_id] = count
         return count
--- a/packages/leadford/src/leadford/forwarding/endpoints/_model.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_model.py
@@ -53,8 +53,8 @@
 
     def in_epoch(self, epoch: StoreEpoch) -> "ListedEndpoint":
         """Return the same, listed in an epoch of the store."""
-        told = msgspec.UNSET if epoch == FIRST_EPOCH else epoch
-        return msgspec.structs.replace(self, epoch=told)
+        listed_epoch = msgspec.UNSET if epoch == FIRST_EPOCH else epoch
+        return msgspec.structs.replace(self, epoch=listed_epoch)
 
     @property
     def name(self) -> str:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_placement.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_placement.py
@@ -17,7 +17,7 @@
 PLACED_IN_S = 0.04
 # Seconds after which a placed prompt counts as read though nobody said so: the entry
 # that asked may be gone. Longer than the longest prompt takes.
-FORGOTTEN_S = 3.0
+PLACED_TIMEOUT_S = 3.0
 
 
 class PlacedId(msgspec.Struct, frozen=True):
@@ -58,6 +58,6 @@
         """Count prompts as read that nobody spoke of for long."""
         for placed_id, placed in list(self.placed_by_id_.items()):
             # They stand in the order in which they were placed.
-            if now - placed.placed_at < FORGOTTEN_S:
+            if now - placed.placed_at < PLACED_TIMEOUT_S:
                 return
             self.record_read(placed_id)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_pools.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_pools.py
@@ -13,13 +13,13 @@
 from leadford.forwarding.endpoints._record import EndpointRecord
 
 # Engines that a pool has at most, on average: 1 ms for a prompt.
-POOL_MOST = 200
+MAX_POOL_ENGINES = 200
 
 
 def pool_count(engines: int) -> int:
     """Return into how many pools engines are split: a power of two."""
     count = 1
-    while engines > POOL_MOST * count:
+    while engines > MAX_POOL_ENGINES * count:
         count *= 2
     return count
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/_prompts.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_prompts.py
@@ -55,23 +55,23 @@
         return sum(part.tokens for part in self.shared)
 
 
-class KeptParts:
+class CachedParts:
     """Remember the parts that an engine read last, up to its memory."""
 
     def __init__(self) -> None:
         self.tokens_by_part_: OrderedDict[str, int] = OrderedDict()
-        self.total_ = 0
+        self.total_tokens_ = 0
 
-    def touch(self, part: PromptPart, limit: float) -> None:
+    def touch(self, part: PromptPart, max_tokens: float) -> None:
         """Remember a part as read last, and drop the oldest beyond `limit` tokens."""
         known = self.tokens_by_part_.pop(part.part_id, 0)
         self.tokens_by_part_[part.part_id] = part.tokens
-        self.total_ += part.tokens - known
-        while self.total_ > limit and len(self.tokens_by_part_) > 1:
+        self.total_tokens_ += part.tokens - known
+        while self.total_tokens_ > max_tokens and len(self.tokens_by_part_) > 1:
             _, tokens = self.tokens_by_part_.popitem(last=False)
-            self.total_ -= tokens
+            self.total_tokens_ -= tokens
 
-    def kept_tokens(self, shape: PromptShape) -> int:
+    def cached_tokens(self, shape: PromptShape) -> int:
         """Return how many tokens at the start of a prompt are kept."""
         total = 0
         for part in shape.parts:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_record.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_record.py
@@ -34,7 +34,7 @@
 SLOWNESS_WEIGHT = 0.4
 # Seconds in which half of an observed slowness is forgotten, so that an endpoint that
 # gets no calls is tried again.
-SLOWNESS_HALF_S = 2.0
+SLOWNESS_HALF_LIFE_S = 2.0
 
 
 class EndpointFailure(Enum):
@@ -100,9 +100,9 @@
 
     def record_backpressure(self, asked: Backpressure) -> bool:
         """Record what an answer asks; return whether that is news."""
-        is_news = asked != self.backpressure_
+        is_changed = asked != self.backpressure_
         self.backpressure_ = asked
-        return is_news
+        return is_changed
 
     def record_load(self, load: ReportedLoad, now: float) -> None:
         """Record the load on an answer."""
@@ -120,10 +120,10 @@
 
         What is beyond 1 fades: an endpoint that gets no calls shows no better.
         """
-        beyond = self.slowness_.value_ - 1.0
-        if beyond <= 0.0:
+        excess = self.slowness_.value_ - 1.0
+        if excess <= 0.0:
             return self.slowness_.value_
-        return 1.0 + beyond * 0.5 ** ((now - self.slowness_at_) / SLOWNESS_HALF_S)
+        return 1.0 + excess * 0.5 ** ((now - self.slowness_at_) / SLOWNESS_HALF_LIFE_S)
 
     def record_success(self, elapsed_ms: float) -> None:
         """Record a good answer and its time."""
@@ -140,8 +140,8 @@
         if is_first and failure not in SUSPECT_AT_ONCE:
             return
         doublings = min(self.failures_in_a_row_ - 1, SUSPECT_DOUBLINGS_MAX)
-        pause_s = min(SUSPECT_MAX_S, SUSPECT_BASE_S * 2.0**doublings)
-        self.suspect_until_ = max(self.suspect_until_, now + pause_s)
+        suspect_s = min(SUSPECT_MAX_S, SUSPECT_BASE_S * 2.0**doublings)
+        self.suspect_until_ = max(self.suspect_until_, now + suspect_s)
 
     def record_replaced(self) -> None:
         """Record proof that another process has the address."""
--- a/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -21,18 +21,18 @@
 from leadford.forwarding.routes import ServiceId
 
 # Removed endpoints whose revision is remembered.
-GONE_KEPT = 2_000
+MAX_REMEMBERED_ENDPOINTS = 2_000
 # Seconds within which an endpoint that works is listed again after a store that was
 # away removed it, as the platform promises; one that is missing for longer is gone.
-BACK_S = 2.0
+RELIST_TIMEOUT_S = 2.0
 # Seconds before a leaving endpoint's allowance ends at which removed ones are not used
 # any more, so that what was chosen last still arrives in time.
 DRAIN_MARGIN_S = 0.9
 # Heartbeats without a word after which a record is surely removed; the platform removes
 # it after three.
-LAPSE_HEARTBEATS = 4
+EXPIRY_HEARTBEATS = 4
 # Seconds between two heartbeats of an endpoint where the deployment tells none.
-HEARTBEAT_S = 1.2
+DEFAULT_HEARTBEAT_S = 1.2
 
 
 class RosterChange(msgspec.Struct, frozen=True):
@@ -66,11 +66,11 @@
     def __init__(
         self,
         *,
-        trusted_s: float = BACK_S,
-        lapse_s: float = LAPSE_HEARTBEATS * HEARTBEAT_S,
+        trusted_s: float = RELIST_TIMEOUT_S,
+        expiry_s: float = EXPIRY_HEARTBEATS * DEFAULT_HEARTBEAT_S,
         halls: EvacuatedHalls | None = None,
     ) -> None:
-        self.lapse_s = lapse_s
+        self.expiry_s = expiry_s
         self.halls = halls
         self.halls_ = halls or EvacuatedHalls()
         self.removed_ = RemovedEndpoints(trusted_s=trusted_s)
@@ -78,7 +78,7 @@
         self.ids_by_service_: dict[ServiceId, set[EndpointId]] = {}
         # The start that is listed under a name, or was until it was removed.
         self.last_by_name_: dict[str, ListedEndpoint] = {}
-        self.gone_position_by_name_: dict[str, StorePosition] = {}
+        self.removed_position_by_name_: dict[str, StorePosition] = {}
         # In the order in which they were learned, so that the oldest is forgotten.
         self.leaving_ids_: dict[EndpointId, None] = {}
         self.changed_position_ = START
@@ -95,9 +95,9 @@
 
         Units: seconds; heartbeat_s between two records of an endpoint.
         """
-        trusted_s = max(0.0, min(BACK_S, drain_s - DRAIN_MARGIN_S))
-        lapse_s = LAPSE_HEARTBEATS * heartbeat_s
-        return cls(trusted_s=trusted_s, lapse_s=lapse_s, halls=halls)
+        trusted_s = max(0.0, min(RELIST_TIMEOUT_S, drain_s - DRAIN_MARGIN_S))
+        expiry_s = EXPIRY_HEARTBEATS * heartbeat_s
+        return cls(trusted_s=trusted_s, expiry_s=expiry_s, halls=halls)
 
     def replace(
         self, endpoints: Iterable[ListedEndpoint], position: StorePosition, now: float
@@ -107,28 +107,32 @@
         seen = set()
         for endpoint in endpoints:
             seen.add(endpoint.name)
-            is_copied = self._is_copied(endpoint)
+            is_stale_copy = self._is_stale_copy(endpoint)
             changes += self.put(endpoint)
-            if is_copied:
-                self._doubt(endpoint.endpoint_id, now + self.lapse_s)
+            if is_stale_copy:
+                self._mark_doubted(endpoint.endpoint_id, now + self.expiry_s)
         names = {record.listed.name for record in self.records_by_id_.values()}
         for name in names - seen:
             changes += self.remove(name, position, now)
         self.changed_position_ = max(self.changed_position_, position)
         return changes
 
-    def _is_copied(self, endpoint: ListedEndpoint) -> bool:
+    def _is_stale_copy(self, endpoint: ListedEndpoint) -> bool:
         """Tell whether a restored store lists what was removed after its copy."""
-        gone_at = self.gone_position_by_name_.get(endpoint.name)
+        removed_position = self.removed_position_by_name_.get(endpoint.name)
         last = self.last_by_name_.get(endpoint.name)
-        if gone_at is None or last is None or endpoint.position.epoch <= gone_at.epoch:
+        if (
+            removed_position is None
+            or last is None
+            or endpoint.position.epoch <= removed_position.epoch
+        ):
             return False
         if endpoint.endpoint_id in self.records_by_id_:
             return False
         is_same_start = endpoint.endpoint_id == last.endpoint_id
         return is_same_start and endpoint.revision <= last.revision
 
-    def _doubt(self, endpoint_id: EndpointId, until: float) -> None:
+    def _mark_doubted(self, endpoint_id: EndpointId, until: float) -> None:
         """Use an endpoint only in need until the platform would have removed it."""
         record = self.records_by_id_.get(endpoint_id)
         if record is not None:
@@ -145,15 +149,15 @@
             self._remember_leaving(endpoint_id)
         if endpoint_id in self.leaving_ids_:
             endpoint = msgspec.structs.replace(endpoint, state=ListedState.DRAINING)
-        gone_at = self.gone_position_by_name_.get(endpoint.name)
-        if gone_at is not None and endpoint.position <= gone_at:
+        removed_position = self.removed_position_by_name_.get(endpoint.name)
+        if removed_position is not None and endpoint.position <= removed_position:
             return []
         is_known = endpoint_id in self.records_by_id_
         if not is_known and endpoint.position.epoch < self.changed_position_.epoch:
             # The present history of the store does not have it.
             return []
         ended = self._end_start(last.endpoint_id) if is_other_start else []
-        self._remember(endpoint)
+        self._remember_start(endpoint)
         record = self.records_by_id_.get(endpoint_id)
         self.changed_position_ = max(self.changed_position_, endpoint.position)
         if record is None:
@@ -164,7 +168,7 @@
         before = record.listed
         if endpoint.position > before.position:
             record.doubted_until_ = 0.0
-        record.listed = _joined(before, endpoint)
+        record.listed = _merged(before, endpoint)
         if before.state is record.listed.state:
             return []
         after = record.listed.state.value
@@ -183,14 +187,17 @@
         """Keep a leaving endpoint from being used, also one that was just removed."""
         self.removed_.forget(endpoint_id)
         self.leaving_ids_[endpoint_id] = None
-        while len(self.leaving_ids_) > GONE_KEPT:
+        while len(self.leaving_ids_) > MAX_REMEMBERED_ENDPOINTS:
             self.leaving_ids_.pop(next(iter(self.leaving_ids_)))
 
-    def _remember(self, endpoint: ListedEndpoint) -> None:
+    def _remember_start(self, endpoint: ListedEndpoint) -> None:
         """Record which start was listed last under a name."""
         self.last_by_name_.pop(endpoint.name, None)
         self.last_by_name_[endpoint.name] = endpoint
-        while len(self.last_by_name_) > len(self.records_by_id_) + GONE_KEPT:
+        while (
+            len(self.last_by_name_)
+            > len(self.records_by_id_) + MAX_REMEMBERED_ENDPOINTS
+        ):
             self.last_by_name_.pop(next(iter(self.last_by_name_)))
 
     def _end_start(self, endpoint_id: EndpointId) -> list[RosterChange]:
@@ -229,10 +236,14 @@
         record = self.records_by_id_.get(endpoint_id)
         if record is not None and position < record.listed.position:
             return []
-        gone_at = max(self.gone_position_by_name_.get(name, position), position)
-        self.gone_position_by_name_[name] = gone_at
-        while len(self.gone_position_by_name_) > GONE_KEPT:
-            self.gone_position_by_name_.pop(next(iter(self.gone_position_by_name_)))
+        removed_position = max(
+            self.removed_position_by_name_.get(name, position), position
+        )
+        self.removed_position_by_name_[name] = removed_position
+        while len(self.removed_position_by_name_) > MAX_REMEMBERED_ENDPOINTS:
+            self.removed_position_by_name_.pop(
+                next(iter(self.removed_position_by_name_))
+            )
         if record is None:
             return []
         self.changed_position_ = max(self.changed_position_, position, seen_at)
@@ -323,13 +334,13 @@
         return RosterChange(endpoint.endpoint_id, endpoint.service_id, before, after)
 
 
-def _joined(known: ListedEndpoint, told: ListedEndpoint) -> ListedEndpoint:
+def _merged(known: ListedEndpoint, reported: ListedEndpoint) -> ListedEndpoint:
     """Return the newer of two listings of an endpoint; either may say that it leaves.
 
     A store in trouble may take a write long after it was sent, so a later revision may
     hold an earlier state.
     """
-    newer = told if told.position > known.position else known
-    if ListedState.DRAINING not in (known.state, told.state):
+    newer = reported if reported.position > known.position else known
+    if ListedState.DRAINING not in (known.state, reported.state):
         return newer
     return msgspec.structs.replace(newer, state=ListedState.DRAINING)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_times.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_times.py
@@ -8,7 +8,7 @@
 from leadford.forwarding.routes import ServiceId
 
 # Seconds before any answer is known.
-FIRST_BYTE_S = 0.15
+INITIAL_FIRST_BYTE_S = 0.15
 
 
 class FirstByteTimes:
@@ -19,15 +19,15 @@
 
     def record(self, service_id: ServiceId, elapsed_s: float) -> None:
         """Record an answer that has begun."""
-        self._of(service_id).update(elapsed_s)
+        self._estimate(service_id).update(elapsed_s)
 
     def expected_s(self, service_id: ServiceId) -> float:
         """Return what a service is expected to take, in seconds."""
-        return self._of(service_id).value_
+        return self._estimate(service_id).value_
 
-    def _of(self, service_id: ServiceId) -> Ewma:
+    def _estimate(self, service_id: ServiceId) -> Ewma:
         estimate = self.seconds_by_service_.get(service_id)
         if estimate is None:
-            estimate = Ewma(initial=FIRST_BYTE_S)
+            estimate = Ewma(initial=INITIAL_FIRST_BYTE_S)
             self.seconds_by_service_[service_id] = estimate
         return estimate
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
@@ -130,9 +130,9 @@
     for number in range(200):
         prompt = shape(f"s{number}", 1_000)
         chooser.record_started(chooser.record_sent(engine, prompt, 10_000))
-    assert chooser.kept_by_id_["e1"].total_ <= 6_000
+    assert chooser.cached_by_id_["e1"].total_tokens_ <= 6_000
     chooser.retain(set())
-    assert chooser.kept_by_id_ == {}
+    assert chooser.cached_by_id_ == {}
 
 
 def test_speed_is_learned_from_long_prompts_only():
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
@@ -14,7 +14,7 @@
     PromptPart,
     PromptShape,
 )
-from leadford.forwarding.endpoints._placement import FORGOTTEN_S
+from leadford.forwarding.endpoints._placement import PLACED_TIMEOUT_S
 from leadford_standins.records import endpoint_record
 
 ENGINES = 39
@@ -122,7 +122,7 @@
     sent = engines.record_sent(record(0), shape, MEMORY_TOKENS)
     ledger.record_placed(PlacedId(EntryId("n"), 1), sent, 0.0)
     other = engines.record_sent(record(1), shape, MEMORY_TOKENS)
-    ledger.record_placed(PlacedId(EntryId("m"), 1), other, FORGOTTEN_S + 0.1)
+    ledger.record_placed(PlacedId(EntryId("m"), 1), other, PLACED_TIMEOUT_S + 0.1)
     assert set(engines.pending_by_id_) == {EndpointId("e1")}
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_pools.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_pools.py
@@ -15,7 +15,7 @@
     PromptShape,
     pool_count,
 )
-from leadford.forwarding.endpoints._pools import POOL_MOST, EnginePools
+from leadford.forwarding.endpoints._pools import MAX_POOL_ENGINES, EnginePools
 from leadford_standins.records import endpoint_record
 
 ENGINES = 1_200
@@ -36,7 +36,8 @@
 
 
 @pytest.mark.parametrize(
-    ("engines", "count"), [(39, 1), (POOL_MOST, 1), (POOL_MOST + 1, 2), (1_200, 8)]
+    ("engines", "count"),
+    [(39, 1), (MAX_POOL_ENGINES, 1), (MAX_POOL_ENGINES + 1, 2), (1_200, 8)],
 )
 def test_pools_are_a_power_of_two(engines, count):
     assert pool_count(engines) == count
@@ -49,19 +50,19 @@
     for subject in range(400):
         members = pools.members(records, prompt(subject).pool_key)
         assert list(members) == list(pools.members(records, prompt(subject).pool_key))
-        assert len(members) < POOL_MOST
+        assert len(members) < MAX_POOL_ENGINES
         seen.update(member.listed.endpoint_id for member in members)
     assert len(seen) == ENGINES
 
 
 def test_engines_of_a_pool_stay_together_when_the_service_grows():
-    few = [record(number) for number in range(POOL_MOST)]
-    more = [record(number) for number in range(POOL_MOST * 3)]
+    few = [record(number) for number in range(MAX_POOL_ENGINES)]
+    more = [record(number) for number in range(MAX_POOL_ENGINES * 3)]
     key = prompt(5).pool_key
     before = {r.listed.endpoint_id for r in EnginePools().members(more, key)}
     grown = [*more, *(record(number) for number in range(600, 1_000))]
     after = {r.listed.endpoint_id for r in EnginePools().members(grown, key)}
-    assert len(EnginePools().members(few, key)) == POOL_MOST
+    assert len(EnginePools().members(few, key)) == MAX_POOL_ENGINES
     assert {name for name in after if int(name[1:]) < 600} <= before
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
@@ -19,7 +19,7 @@
 SERVICE = ServiceId("s")
 BEFORE, AFTER = StoreEpoch(1), StoreEpoch(2)
 DRAINING = ListedState.DRAINING
-LAPSE_S = 4.8
+EXPIRY_S = 4.8
 
 
 def listed(name, revision, state=ListedState.READY, *, epoch=BEFORE, **fields):
@@ -47,7 +47,7 @@
 @pytest.fixture
 def roster():
     """Return a roster of three endpoints, known up to revision 96."""
-    known = EndpointRoster(trusted_s=2.0, lapse_s=LAPSE_S)
+    known = EndpointRoster(trusted_s=2.0, expiry_s=EXPIRY_S)
     known.replace([listed(name, 50 + n) for n, name in enumerate("abc")], at(96), 0.0)
     return known
 
@@ -117,7 +117,7 @@
     roster.remove("a", at(95), 5.0)
     copy = [listed(name, 50 + n, epoch=AFTER) for n, name in enumerate("abc")]
     roster.replace(copy, at(94, AFTER), 10.0)
-    assert used(roster, 10.0 + LAPSE_S) == {"a", "b", "c"}
+    assert used(roster, 10.0 + EXPIRY_S) == {"a", "b", "c"}
 
 
 def test_one_that_writes_its_record_again_after_the_copy_is_used_at_once(roster):
--- a/packages/leadford/src/leadford/forwarding/membership/_builds.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_builds.py
@@ -39,15 +39,15 @@
 
     def __init__(self, *, own: int) -> None:
         self.own = own
-        self.told_by_id_: dict[EntryId, int] = {}
+        self.reported_by_id_: dict[EntryId, int] = {}
 
     def record_told(self, entry_id: EntryId, lowest: int) -> None:
         """Record the oldest version that an entry is linked to."""
-        self.told_by_id_[entry_id] = lowest
+        self.reported_by_id_[entry_id] = lowest
 
     def forget(self, entry_id: EntryId) -> None:
         """Forget what an entry told: its link ended, or another process is there."""
-        self.told_by_id_.pop(entry_id, None)
+        self.reported_by_id_.pop(entry_id, None)
 
     def lowest_linked(self, linked: Mapping[EntryId, int]) -> int:
         """Return the oldest version of this entry and those linked, for heartbeats."""
@@ -55,8 +55,8 @@
 
     def lowest(self, linked: Mapping[EntryId, int]) -> int:
         """Return the oldest version of all entries; who told none counts as old."""
-        told = [self.told_by_id_.get(name, PROTOCOL_UNTOLD) for name in linked]
-        return min([self.lowest_linked(linked), *told])
+        reported = [self.reported_by_id_.get(name, PROTOCOL_UNTOLD) for name in linked]
+        return min([self.lowest_linked(linked), *reported])
 
     def shared_rules(self, linked: Mapping[EntryId, int]) -> frozenset[SharedRule]:
         """Return the rules that every entry that lives knows."""
--- a/packages/leadford/src/leadford/forwarding/membership/_liveness.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_liveness.py
@@ -13,12 +13,12 @@
 from leadford.common import EntryId
 
 # Seconds after its last message for which an entry counts as alive.
-LIVE_S = 0.9
+LIVE_TIMEOUT_S = 0.9
 # Times of that, after which a silent peer is disconnected.
-SILENT_TIMES = 3
+SILENT_TIMEOUT_FACTOR = 3
 # Seconds between two looks that count as time in which this entry ran: a heartbeat, its
 # spread and a third more. For the rest it was held up.
-LOOK_MOST_S = 0.3
+MAX_LOOK_INTERVAL_S = 0.3
 
 
 class HeardPeers:
@@ -27,35 +27,41 @@
     def __init__(self) -> None:
         self.heard_at_by_id_: dict[EntryId, float] = {}
         self.looked_at_: float | None = None
-        self.held_up_s_ = 0.0
+        self.suspended_s_ = 0.0
 
     def look(self, now: float) -> None:
         """Record that this entry runs; called with each of its heartbeats."""
-        self.held_up_s_ += self._held_up_since_look_s(now)
+        self.suspended_s_ += self._suspended_since_look_s(now)
         self.looked_at_ = now
 
     def record_heard(self, entry_id: EntryId, now: float) -> None:
         """Record that a message of a peer was read."""
-        self.heard_at_by_id_[entry_id] = self._own_time(now)
+        self.heard_at_by_id_[entry_id] = self._running_time_s(now)
 
     def is_live(self, entry_id: EntryId, now: float) -> bool:
         """Tell whether a peer was heard a short while ago."""
         heard_at = self.heard_at_by_id_.get(entry_id)
-        return heard_at is not None and self._own_time(now) - heard_at < LIVE_S
+        return (
+            heard_at is not None
+            and self._running_time_s(now) - heard_at < LIVE_TIMEOUT_S
+        )
 
     def is_silent(self, entry_id: EntryId, now: float) -> bool:
         """Tell whether a connected peer has stopped to send heartbeats."""
         heard_at = self.heard_at_by_id_.get(entry_id)
         if heard_at is None:
             return False
-        return self._own_time(now) - heard_at > SILENT_TIMES * LIVE_S
+        return (
+            self._running_time_s(now) - heard_at
+            > SILENT_TIMEOUT_FACTOR * LIVE_TIMEOUT_S
+        )
 
-    def _own_time(self, now: float) -> float:
+    def _running_time_s(self, now: float) -> float:
         """Return the seconds in which this entry ran, from an arbitrary start."""
-        return now - self.held_up_s_ - self._held_up_since_look_s(now)
+        return now - self.suspended_s_ - self._suspended_since_look_s(now)
 
-    def _held_up_since_look_s(self, now: float) -> float:
+    def _suspended_since_look_s(self, now: float) -> float:
         """Return for how long this entry has been held up since it looked last."""
         if self.looked_at_ is None:
             return 0.0
-        return max(0.0, now - self.looked_at_ - LOOK_MOST_S)
+        return max(0.0, now - self.looked_at_ - MAX_LOOK_INTERVAL_S)
--- a/packages/leadford/src/leadford/forwarding/membership/_pace.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_pace.py
@@ -13,7 +13,7 @@
 
 # Heartbeats of which a link gets one that only has to show that an entry lives. Two of
 # these still fit the 0.9 s for which it counts as alive.
-RESTING_BEATS = 2
+REDUCED_HEARTBEAT_DIVISOR = 2
 
 
 class HeartbeatNews(msgspec.Struct, frozen=True):
@@ -35,4 +35,4 @@
     """
     if news.tells_all or is_scheduler or not knows_pace:
         return True
-    return news.number % RESTING_BEATS == 0
+    return news.number % REDUCED_HEARTBEAT_DIVISOR == 0
--- a/packages/leadford/src/leadford/forwarding/membership/_peer_clock.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_peer_clock.py
@@ -10,17 +10,17 @@
     """Know the least difference between the own clock and that of one peer."""
 
     def __init__(self) -> None:
-        self.least_s_: float | None = None
+        self.min_offset_s_: float | None = None
 
     def record(self, sent_at: float, received_at: float) -> None:
         """Record when a message was sent, by the peer's clock, and when it came."""
-        difference_s = received_at - sent_at
-        if self.least_s_ is None or difference_s < self.least_s_:
-            self.least_s_ = difference_s
+        offset_s = received_at - sent_at
+        if self.min_offset_s_ is None or offset_s < self.min_offset_s_:
+            self.min_offset_s_ = offset_s
 
     def own_moment(self, moment: float) -> float:
         """Return a moment of the peer's clock by the own one.
 
         Units: seconds of the monotonic clock. A message must have been recorded.
         """
-        return moment + self.least_s_
+        return moment + self.min_offset_s_
--- a/packages/leadford/src/leadford/forwarding/membership/_peers.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_peers.py
@@ -18,12 +18,12 @@
 from leadford.forwarding.routes import ServiceId
 
 # Next entries in the order of ids that a link is held to.
-RELAYS = 2
+SUCCESSORS_COUNT = 2
 # First candidates for each group that a link is held to.
-CANDIDATES = 2
+CANDIDATES_COUNT = 2
 # Entries from which on one of them places the prompts of all. Fewer hear by themselves
 # what engines say of their load.
-PLACED_FROM = 8
+PLACING_MIN_ENTRIES = 8
 
 
 def wanted_peers(
@@ -36,10 +36,12 @@
     wanted: set[EntryId] = set()
     for group in groups:
         order = schedulers_in_order(group, halls_by_entry, regions)
-        wanted.update(order[:CANDIDATES])
+        wanted.update(order[:CANDIDATES_COUNT])
     ring = sorted(halls_by_entry)
-    here = ring.index(own)
-    wanted.update(ring[(here + step) % len(ring)] for step in range(1, RELAYS + 1))
+    own_index = ring.index(own)
+    wanted.update(
+        ring[(own_index + step) % len(ring)] for step in range(1, SUCCESSORS_COUNT + 1)
+    )
     wanted.discard(own)
     return wanted
 
@@ -95,7 +97,7 @@
     regions: RegionMap,
 ) -> PlaceId | None:
     """Return the region of a large fleet, if all of it lies in one."""
-    if len(halls_by_entry) < PLACED_FROM:
+    if len(halls_by_entry) < PLACING_MIN_ENTRIES:
         return None
     places = {
         regions.region(hall) for hall in (*engines_by_hall, *halls_by_entry.values())
--- a/packages/leadford/src/leadford/forwarding/membership/_relays.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_relays.py
@@ -14,23 +14,23 @@
 from leadford.common import EntryId, HallId
 from leadford.forwarding.batching import GroupId, RegionMap, schedulers_in_order
 from leadford.forwarding.membership._watch import (
-    ANSWER_S,
-    LEAST_S,
-    SPREAD,
+    ANSWER_RESERVE_S,
+    MIN_WAIT_S,
+    WATCH_SPREAD,
     longest_watch_s,
 )
 
 # Entries that follow the store for the others: the loss of any two leaves one, and with
 # watches that end at different moments the newest confirmation is younger than one
 # watch.
-FOLLOWERS = 3
+FOLLOWERS_COUNT = 3
 # Entries from which on the others rest. With fewer, each follows by itself: three of
 # six would save half of the calls, and news would come in two steps.
-RELAYED_FROM = 8
+RELAY_MIN_ENTRIES = 8
 # Part of the rest of the others that the watch of a follower waits: where the watches
 # of all are lost at once, such as by a history that was forgotten, the next ones are
 # answered before everybody asks.
-WATCH_PART = 0.5
+FOLLOWER_WATCH_FRACTION = 0.5
 
 
 def store_followers(
@@ -43,26 +43,26 @@
     They are first candidates to schedule groups, because every entry holds links to
     these; the second ones come after the first. Without a group everybody follows.
     """
-    if len(halls_by_entry) < RELAYED_FROM:
+    if len(halls_by_entry) < RELAY_MIN_ENTRIES:
         return set(halls_by_entry)
     orders = [
         schedulers_in_order(group, halls_by_entry, regions)
         for group in sorted(groups, key=lambda group: group.key)
     ]
-    found = _first_of_each(orders)
-    return set(found) or set(halls_by_entry)
+    followers = _first_of_each(orders)
+    return set(followers) or set(halls_by_entry)
 
 
 def _first_of_each(orders: Sequence[Sequence[EntryId]]) -> list[EntryId]:
     """Return the first of each order, then the second ones, until there are enough."""
-    found: list[EntryId] = []
+    followers: list[EntryId] = []
     for rank in (0, 1):
         for order in orders:
-            if len(found) >= FOLLOWERS:
-                return found
-            if rank < len(order) and order[rank] not in found:
-                found.append(order[rank])
-    return found
+            if len(followers) >= FOLLOWERS_COUNT:
+                return followers
+            if rank < len(order) and order[rank] not in followers:
+                followers.append(order[rank])
+    return followers
 
 
 def rest_s(bound_s: float) -> float:
@@ -73,7 +73,7 @@
 
     Units: seconds.
     """
-    return max(LEAST_S, bound_s - ANSWER_S)
+    return max(MIN_WAIT_S, bound_s - ANSWER_RESERVE_S)
 
 
 def follower_watch_s(bound_s: float, resync_s: float, drawn: float) -> float:
@@ -84,6 +84,6 @@
 
     Units: seconds.
     """
-    low, high = SPREAD
-    most_s = min(longest_watch_s(resync_s), WATCH_PART * rest_s(bound_s))
-    return max(LEAST_S, most_s * (low + drawn * (high - low)))
+    low, high = WATCH_SPREAD
+    max_s = min(longest_watch_s(resync_s), FOLLOWER_WATCH_FRACTION * rest_s(bound_s))
+    return max(MIN_WAIT_S, max_s * (low + drawn * (high - low)))
--- a/packages/leadford/src/leadford/forwarding/membership/_watch.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_watch.py
@@ -8,23 +8,23 @@
 """
 
 # Entries that together hear of a change as soon as one with the least wait.
-ENTRIES_SHARING = 3
+SHARING_ENTRIES_COUNT = 3
 # Most that a watch waits in place of its least.
-TIMES_MOST = 2.6
+MAX_WAIT_FACTOR = 2.6
 # Parts of the wait between which each is drawn, so that entries that started together
 # do not end their watches together.
-SPREAD = (0.75, 1.0)
+WATCH_SPREAD = (0.75, 1.0)
 # Seconds beyond its wait after which a watch is given up.
 WATCH_MARGIN_S = 0.35
 # Seconds kept of the time to catch up for the answer that ends it, which may be a large
 # configuration over a slow link.
-ANSWER_S = 0.6
+ANSWER_RESERVE_S = 0.6
 # Least seconds that a watch waits where there is hardly any time to catch up, so that
 # watches do not follow each other without a pause.
-LEAST_S = 0.2
+MIN_WAIT_S = 0.2
 # Most seconds until the first byte of a call that waits for no change. A store whose
 # answers take 1.5 s is followed with it.
-CALL_MOST_S = 2.0
+MAX_CALL_S = 2.0
 
 
 def longest_watch_s(resync_s: float) -> float:
@@ -35,7 +35,7 @@
 
     Units: seconds.
     """
-    return max(LEAST_S, resync_s - WATCH_MARGIN_S - ANSWER_S)
+    return max(MIN_WAIT_S, resync_s - WATCH_MARGIN_S - ANSWER_RESERVE_S)
 
 
 def longest_call_s(resync_s: float) -> float:
@@ -43,10 +43,10 @@
 
     Units: seconds.
     """
-    return max(LEAST_S, min(CALL_MOST_S, resync_s - ANSWER_S))
+    return max(MIN_WAIT_S, min(MAX_CALL_S, resync_s - ANSWER_RESERVE_S))
 
 
-def watch_s(least_s: float, live_peers: int, drawn: float, *, resync_s: float) -> float:
+def watch_s(alone_s: float, live_peers: int, drawn: float, *, resync_s: float) -> float:
     """Return how long a watch waits, where this entry alone would wait `least_s`.
 
     `drawn` is a number from 0 to 1 that was drawn at random, `resync_s` the time to
@@ -55,10 +55,10 @@
     Units: seconds.
     """
     bound_s = longest_watch_s(resync_s)
-    least_s = min(least_s, bound_s)
-    times = min(TIMES_MOST, (1 + live_peers) / ENTRIES_SHARING)
-    if times <= 1.0:
-        return least_s
-    low, high = SPREAD
+    alone_s = min(alone_s, bound_s)
+    factor = min(MAX_WAIT_FACTOR, (1 + live_peers) / SHARING_ENTRIES_COUNT)
+    if factor <= 1.0:
+        return alone_s
+    low, high = WATCH_SPREAD
     spread = low + drawn * (high - low)
-    return max(least_s, min(least_s * times, bound_s) * spread)
+    return max(alone_s, min(alone_s * factor, bound_s) * spread)
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_builds.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_builds.py
@@ -47,8 +47,8 @@
         self.__init__(versions)
         for other, builds in self.builds_by_id.items():
             if other != name:
-                builds.told_by_id_.update(beside[other].told_by_id_)
-                builds.told_by_id_.pop(name, None)
+                builds.reported_by_id_.update(beside[other].reported_by_id_)
+                builds.reported_by_id_.pop(name, None)
 
     def verdicts(self):
         """Return what the entries that know the rule decide."""
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
@@ -21,7 +21,7 @@
     wanted_peers,
     watch_s,
 )
-from leadford.forwarding.membership._watch import ANSWER_S, WATCH_MARGIN_S
+from leadford.forwarding.membership._watch import ANSWER_RESERVE_S, WATCH_MARGIN_S
 from leadford.forwarding.routes import ServiceId
 
 REGIONS = RegionMap({HallId("h1"): PlaceId("r"), HallId("h2"): PlaceId("r")})
@@ -219,12 +219,12 @@
 @pytest.mark.parametrize("peers", [0, 4, 20, 350])
 def test_no_watch_waits_longer_than_an_entry_may_be_behind(peers, resync_s):
     longest_s = watch_s(1.8, peers, 1.0, resync_s=resync_s)
-    assert longest_s + WATCH_MARGIN_S + ANSWER_S <= resync_s
+    assert longest_s + WATCH_MARGIN_S + ANSWER_RESERVE_S <= resync_s
 
 
 def test_calls_after_one_that_heard_nothing_leave_time_for_the_answer():
     assert longest_call_s(3.0) == 2.0
-    assert longest_call_s(2.0) == pytest.approx(2.0 - ANSWER_S)
+    assert longest_call_s(2.0) == pytest.approx(2.0 - ANSWER_RESERVE_S)
 
 
 def test_watches_keep_a_pause_where_there_is_hardly_time_to_catch_up():
