--- a/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
@@ -1,4 +1,4 @@
-"""Know the endpoints of each service: what is listed, what is observed, whom to ask."""
+"""Track the listed and observed state of endpoints, and choose among them."""
 
 from leadford.forwarding.endpoints._address import is_dialable
 from leadford.forwarding.endpoints._choice import ChoicePolicy, EndpointChooser
--- a/packages/leadford/src/leadford/forwarding/endpoints/_address.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_address.py
@@ -1,4 +1,4 @@
-"""Tell whether an address can be connected to, whoever wrote it."""
+"""Check whether an address can be connected to, whatever its source."""
 
 import ipaddress
 
@@ -6,7 +6,7 @@
 
 
 def is_dialable(address: str) -> bool:
-    """Tell whether an address is one of a host and a port, by numbers."""
+    """Tell whether an address is a numeric IPv4 address with a port."""
     host, _, port = address.rpartition(":")
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
         return False
--- a/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
@@ -1,8 +1,9 @@
-"""Choose the endpoint that is expected to answer first at the least cost.
+"""Choose the endpoint with the lowest expected cost for a request.
 
-Called for each attempt of a request to a service that is no model engine. It decides
-from work in flight and reported, failures, slowness beside others, and halls; suspects
-are asked only when nobody else is left. Among equals chance decides.
+Called for each attempt of a request to a service that is not a model engine. The cost
+depends on work in flight and reported load, the failure rate, latency relative to the
+fastest endpoint, and the hall. Suspect endpoints are used only when no other candidate
+is left. A small random cost decides among equal candidates.
 """
 
 from collections.abc import Collection
@@ -13,29 +14,31 @@
 from leadford.common import EndpointId, HallId
 from leadford.forwarding.endpoints._record import EndpointRecord
 
-# Answers that an endpoint must have given before its slowness counts.
+# Successful answers that an endpoint needs before its slowness counts.
 SLOWNESS_MIN_ANSWERS = 3
 
 
 class ChoicePolicy(msgspec.Struct, frozen=True):
-    """Weigh the costs of an endpoint.
+    """Hold the weights of the cost of an endpoint.
 
-    Units: one unit is one request that runs or waits there, per slot.
+    Units: one unit is the cost of one running or waiting request per slot.
     """
 
-    # An endpoint in another hall, and one that is still cold.
+    # Added for an endpoint in another hall, and again for one that is still cold.
     other_hall_cost: float = 0.35
-    # An endpoint whose recent requests all failed.
+    # Added at a failure rate of 1.
     failure_cost: float = 2.0
-    # One that takes twice as long as the fastest, and the most times that count.
+    # Added for each multiple of the fastest latency beyond the first, and the maximum
+    # number of multiples that count.
     slowness_cost: float = 0.3
     max_slowness: float = 3.0
-    # The most that chance adds, so that entries do not all choose the same.
+    # Upper bound of a random addition, so that entries do not all choose the same
+    # endpoint.
     max_jitter: float = 0.05
 
 
 class EndpointChooser:
-    """Score the usable endpoints of a service by load, failures and hall."""
+    """Choose among the usable endpoints of a service by load, failures and hall."""
 
     def __init__(
         self, *, hall: HallId, random: Random, policy: ChoicePolicy | None = None
@@ -51,7 +54,10 @@
         excluded: Collection[EndpointId] = (),
         now: float,
     ) -> EndpointRecord | None:
-        """Return the best endpoint; suspects only when nobody else is left."""
+        """Return the endpoint with the lowest cost.
+
+        Suspect endpoints are considered only when no other candidate is left.
+        """
         candidates = [
             record for record in records if record.listed.endpoint_id not in excluded
         ]
@@ -70,14 +76,14 @@
         return best
 
     def _slowness_cost(self, record: EndpointRecord, fastest_ms: float) -> float:
-        """Return the cost of an endpoint that answers slower than others."""
+        """Return the cost of an endpoint for being slower than the fastest."""
         if record.latency_ms_.count_ < SLOWNESS_MIN_ANSWERS or fastest_ms <= 0.0:
             return 0.0
         excess = record.latency_ms_.value_ / fastest_ms - 1.0
         return self.policy.slowness_cost * min(self.policy.max_slowness, excess)
 
     def score(self, record: EndpointRecord, *, now: float) -> float:
-        """Return the cost of an endpoint, without its slowness."""
+        """Return the cost of an endpoint, without the cost of its slowness."""
         policy = self.policy
         work = record.in_flight_ + record.waiting_elsewhere(now)
         score = work / max(1, record.listed.slots)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_cold.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_cold.py
@@ -1,11 +1,12 @@
-"""Bound what a cold endpoint gets from all entries together.
-
-Called for each attempt before the endpoint is chosen. An endpoint that has just started
-or whose hall was given back fails under more requests than it bears cold, and the bound
-holds for the sum of all entries. No message is needed: rendezvous over the entries that
-exist names a few that may use an endpoint while it is cold, and each of them has a rate
-of its own. Calls of batched stages are not counted: one scheduler makes them, a few a
-second at most.
+"""Limit the rate of requests that all entries together send to a cold endpoint.
+
+Called for each attempt before the endpoint is chosen. An endpoint that has just
+started, or whose hall is no longer evacuated, fails when it gets more requests than it
+can serve while cold. The limit applies to the sum over all entries and needs no
+messages: rendezvous hashing over the existing entries selects a few that may use the
+endpoint while it is cold, and each of them has its own share of the rate. Calls of
+batched stages are not counted, because one scheduler makes them, at most a few per
+second.
 """
 
 from collections.abc import Collection
@@ -16,23 +17,26 @@
 from leadford.forwarding.endpoints._record import EndpointRecord
 from leadford.forwarding.routes import ColdLimits
 
-# Entries that use a cold endpoint, as a part of the requests it bears in a second. Each
-# may send one at once and its share of the rate, so in any second they send at most 1.5
-# times that rate.
+# Number of entries that use a cold endpoint, per request per second that it can serve.
+# Each may send one request at once in addition to its share of the rate, so together
+# they send at most 1.5 times the rate in any second.
 ENTRIES_PER_REQUEST_PER_S = 0.5
-# Requests that an entry may send at once to a cold endpoint.
+# Requests that an entry may send to a cold endpoint at once.
 BURST_REQUESTS = 1.0
 
 
 class _ColdShare(msgspec.Struct, eq=False):
-    """Hold the share of this entry in one endpoint; none where it has no bucket."""
+    """Hold the share of this entry in the rate of one endpoint.
+
+    `bucket` is None where this entry has no share.
+    """
 
     limits: ColdLimits
     bucket: TokenBucket | None
 
 
 class ColdEndpoints:
-    """Say which cold endpoints this entry may use now."""
+    """Decide which cold endpoints this entry may use now."""
 
     def __init__(self, *, entry_id: EntryId) -> None:
         self.entry_id = entry_id
@@ -40,14 +44,14 @@
         self.share_by_id_: dict[EndpointId, _ColdShare] = {}
 
     def set_entries(self, entry_ids: Collection[EntryId]) -> None:
-        """Share what cold endpoints bear over the entries that exist."""
+        """Set the existing entries, over which the rates are divided."""
         self.entry_ids_ = frozenset(entry_ids)
         self.share_by_id_.clear()
 
     def may_use(
         self, record: EndpointRecord, limits: ColdLimits | None, now: float
     ) -> bool:
-        """Tell whether another request may go to an endpoint now."""
+        """Tell whether another request may be sent to an endpoint now."""
         if limits is None or limits.per_s <= 0.0 or not record.is_cold(now):
             return True
         bucket = self._bucket(record.listed.endpoint_id, limits)
@@ -56,7 +60,7 @@
     def record_sent(
         self, record: EndpointRecord, limits: ColdLimits | None, now: float
     ) -> None:
-        """Count a request that goes to an endpoint."""
+        """Count a request that is sent to an endpoint."""
         if limits is None or limits.per_s <= 0.0 or not record.is_cold(now):
             return
         bucket = self._bucket(record.listed.endpoint_id, limits)
@@ -64,7 +68,7 @@
             bucket.try_take(now)
 
     def retain(self, known: Collection[EndpointId]) -> None:
-        """Forget endpoints that left."""
+        """Forget the endpoints that are not in `known`."""
         for endpoint_id in set(self.share_by_id_) - set(known):
             del self.share_by_id_[endpoint_id]
 
@@ -78,7 +82,7 @@
         return share.bucket
 
     def _new_share(self, endpoint_id: EndpointId, limits: ColdLimits) -> _ColdShare:
-        """Return the share of this entry, if it is one of those that have any."""
+        """Return the share of this entry, without a bucket if it was not selected."""
         entry_ids = self.entry_ids_ | {self.entry_id}
         count = max(1, int(limits.per_s * ENTRIES_PER_REQUEST_PER_S))
         chosen = rendezvous_order(endpoint_id, entry_ids)[:count]
--- a/packages/leadford/src/leadford/forwarding/endpoints/_connections.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_connections.py
@@ -1,30 +1,30 @@
-"""Decide how many connections an entry holds to an endpoint, and which are used again.
+"""Decide how many connections an entry holds to an endpoint, and which are reused.
 
-Asked by the pool of connections. The bound of an endpoint holds for all entries
-together, so each takes an equal part without a message. A connection that the endpoint
-may be about to close is not used: a request on it would be lost, and might have run.
+Called by the connection pool. The connection limit of an endpoint applies to all
+entries together, so each entry takes an equal share, without messages. A connection
+that the endpoint may be about to close is not reused: a request on it could be lost,
+and it would be unknown whether it ran.
 """
 
-# Part of an endpoint's bound that all entries together hold at most.
+# Maximum fraction of an endpoint's connection limit that all entries together use.
 CONNECTIONS_FRACTION = 0.95
-# Seconds that a connection rests where the endpoint says nothing.
+# Idle timeout of a connection where the endpoint names none.
 DEFAULT_IDLE_TIMEOUT_S = 8.0
-# Seconds before an endpoint closes a resting connection at which it is not used any
-# more.
+# Time before the endpoint closes an idle connection from which it is no longer reused.
 IDLE_TIMEOUT_MARGIN_S = 0.6
 
 
 def connections_allowed(connections_max: int, entry_count: int) -> int:
-    """Return how many connections one of so many entries holds to an endpoint."""
+    """Return the maximum number of connections of one entry to an endpoint."""
     bound = int(connections_max * CONNECTIONS_FRACTION)
     return max(1, bound // max(1, entry_count))
 
 
 def may_use_again(idle_s: float, idle_timeout_s: float | None) -> bool:
-    """Tell whether a connection that was idle is used for another request.
+    """Tell whether an idle connection may be used for another request.
 
-    Units: seconds. rest_s is how long the endpoint keeps idle connections, None where
-    it did not say.
+    Units: seconds. idle_timeout_s is how long the endpoint keeps idle connections, None
+    where it names no timeout.
     """
     max_idle_s = (
         DEFAULT_IDLE_TIMEOUT_S
--- a/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
@@ -1,14 +1,14 @@
-"""Choose the model engine that is expected to give the first token first.
+"""Choose the model engine with the lowest expected time to the first token.
 
-What counts is the prompt: tokens that are kept at an engine need not be read again,
-and every prompt that waits there is read first. What an engine keeps is learned from
-own sends. For what other entries sent all of them agree, without a message, on a few
-engines for the first part of a prompt, which many prompts share, and on one of these by
-the last part that prompts share.
+The prompt dominates that time: tokens in the cache of an engine need no prefill, and
+every prompt that waits at an engine is prefilled first. This entry estimates the cache
+of an engine from the prompts that it sent there. For the prompts of other entries, all
+entries agree without messages: the first part of a prompt, which many prompts share,
+selects a few engines, and the last shared part selects one of them.
 
-Called for each attempt at a model engine, and when the stages of a request begin, which
-are best made in the hall of its engine. Suspects are asked only when nobody else is
-left. What an engine's cache holds is a guess: cache events are not read.
+Called for each attempt at a model engine, and when the stages of a request begin, since
+they run best in the hall of its engine. Suspect engines are used only when no other
+candidate is left. The content of a cache is an estimate: cache events are not read.
 """
 
 from collections.abc import Collection, Sequence
@@ -26,51 +26,50 @@
 from leadford.forwarding.endpoints._prompts import CachedParts, PromptShape
 from leadford.forwarding.endpoints._record import EndpointRecord
 
-# Prompt tokens that an engine is taken to read in a millisecond before any is measured.
+# Assumed prefill rate of an engine before the first measurement.
 INITIAL_TOKENS_PER_MS = 20.0
-# Weight of the newest prompt in that rate.
+# Weight of the newest prompt in the average prefill rate.
 RATE_EWMA_WEIGHT = 0.05
-# Part of a shared part that an engine of its affinity set is guessed to keep.
+# Fraction of a shared part that an engine of its affinity set is assumed to cache.
 CACHED_FRACTION_ESTIMATE = 0.8
-# Part of the engines that form the affinity set of a prompt, and how many they are at
-# least.
+# Fraction of the engines that form the affinity set of a prompt, and its minimum size.
 AFFINITY_FRACTION = 1.0 / 3.0
 AFFINITY_MIN_ENGINES = 2
-# Milliseconds for each token of a shared part that would be read again, beyond the time
-# that it takes: it holds up the streams beside it, and takes memory from other parts.
-# Measured only together with AFFINITY_PART.
+# Cost of each token of a shared part that would be prefilled again, in addition to the
+# time that this takes: it delays the streams of the engine and takes cache memory from
+# other parts. The value holds only together with that of AFFINITY_FRACTION.
 RECOMPUTE_MS_PER_TOKEN = 0.1
-# Milliseconds that a prompt of so many tokens counts for that is being read where the
-# next one would go: two long ones in a row hold up the streams beside them for longer
-# than they may pause. In a replay of 28 long prompts a second at 39 engines 0.2 % met
-# another one, 10 % with 0 ms, 20 % where 60 entries choose by themselves.
+# Cost of an engine at which at least LONG_PREFILL_TOKENS wait for prefill: two long
+# prompts in a row delay the streams of the engine for longer than they may pause. In a
+# replay of 28 long prompts per second at 39 engines, 0.2 % of the prompts had to wait
+# for another one; without this cost 10 %, and 20 % where each of 60 entries chooses
+# engines on its own.
 LONG_PREFILL_MS = 400.0
 LONG_PREFILL_TOKENS = 2_000.0
-# Milliseconds that another hall counts for, and that each byte moved between halls
-# does.
+# Cost of another hall, and of each byte transferred between halls.
 OTHER_HALL_MS = 12.0
 TRANSFER_MS_PER_BYTE = 6e-5
-# Milliseconds that a running request counts for.
+# Cost of each running request.
 RUNNING_REQUEST_MS = 0.4
-# Milliseconds that a failure rate of 1 counts for.
+# Cost of a failure rate of 1.
 FAILURE_RATE_MS = 400.0
-# Tokens that a prompt is taken to have that another entry sent.
+# Assumed length of a prompt that another entry sent.
 MEAN_PROMPT_TOKENS = 2_000.0
-# Tokens below which a prompt says nothing of the rate.
+# Shorter prefills are not used to estimate the prefill rate.
 RATE_SAMPLE_MIN_TOKENS = 500.0
-# Tokens per millisecond between which a measured rate is believed.
+# Bounds to which a measured prefill rate is clamped.
 MIN_TOKENS_PER_MS = 2.0
 MAX_TOKENS_PER_MS = 100.0
-# Part of an engine's memory that is taken to hold parts of prompts.
+# Fraction of an engine's memory that is assumed to cache parts of prompts.
 CACHE_MEMORY_FRACTION = 0.6
-# Milliseconds that the first engine of the affinity set is ahead.
+# Cost of every engine other than the first of the affinity set.
 PREFERRED_BONUS_MS = 10.0
 
 
 class SentPrompt(msgspec.Struct, frozen=True, eq=False):
-    """Hold what was expected of a prompt that was sent to an engine.
+    """Hold the expected prefill of a prompt that was sent to an engine.
 
-    Units: read_tokens are those that the engine is expected to read.
+    Units: prefill_tokens counts the tokens that the engine is expected to prefill.
     """
 
     endpoint_id: EndpointId
@@ -78,7 +77,7 @@
 
 
 class EngineChooser:
-    """Score engines by prompts that wait, kept parts, running requests and hall."""
+    """Choose engines by waiting prompts, cached parts, running requests and hall."""
 
     def __init__(self, *, hall: HallId) -> None:
         self.hall = hall
@@ -100,12 +99,13 @@
         knows_all: bool = False,
         now: float,
     ) -> EndpointRecord | None:
-        """Return the best engine; suspects only when nobody else is left.
+        """Return the engine with the lowest expected cost.
 
-        With `knows_all` every prompt is sent by this entry or was placed by it, so what
-        it has not seen an engine read is not kept there.
+        Suspect engines are considered only when no other candidate is left. With
+        `knows_all`, this entry sends or places every prompt, so an engine caches
+        nothing that this entry has not seen it prefill.
 
-        Units: extra_ms_by_hall is what a hall costs for other reasons.
+        Units: extra_ms_by_hall is the additional cost of a hall for other reasons.
         """
         extra_ms = extra_ms_by_hall or {}
         candidates = self._candidates(records, shape, excluded, now)
@@ -134,7 +134,11 @@
         excluded: Collection[EndpointId],
         now: float,
     ) -> list[EndpointRecord]:
-        """Return trusted engines of the pool, or of all, or whatever is left."""
+        """Return the engines to choose from.
+
+        These are the trusted engines of the prompt's pool; if there are none, all
+        trusted engines; if there are none either, all engines that are not excluded.
+        """
         allowed = [
             record for record in records if record.listed.endpoint_id not in excluded
         ]
@@ -148,7 +152,10 @@
     def _transfer_ms(
         self, record: EndpointRecord, bytes_by_hall: dict[HallId, int] | None
     ) -> float:
-        """Return what inputs from other halls cost; without any, the own hall leads."""
+        """Return the cost of moving inputs to an engine from other halls.
+
+        Without inputs, engines in other halls than that of this entry cost more.
+        """
         hall = record.listed.hall
         if not bytes_by_hall:
             return 0.0 if hall == self.hall else OTHER_HALL_MS
@@ -161,7 +168,7 @@
     def _affinity_set(
         self, candidates: Sequence[EndpointRecord], shape: PromptShape
     ) -> list[EndpointId]:
-        """Return the engines where the shared parts should be, the best first."""
+        """Return the engines that should cache the shared parts, preferred first."""
         if not shape.shared:
             return []
         ids = [record.listed.endpoint_id for record in candidates]
@@ -179,7 +186,7 @@
         knows_all: bool = False,
         now: float,
     ) -> float:
-        """Return the time to the first token, with the costs of an engine added."""
+        """Return the expected time to the first token, plus the costs of an engine."""
         endpoint_id = record.listed.endpoint_id
         cached = self._cached_tokens(record, shape, () if knows_all else affinity)
         tokens = shape.tokens_in - cached
@@ -204,7 +211,7 @@
     def _cached_tokens(
         self, record: EndpointRecord, shape: PromptShape, affinity: Sequence[EndpointId]
     ) -> float:
-        """Return how much of a prompt an engine is expected to keep."""
+        """Return how many tokens of a prompt an engine is expected to have cached."""
         endpoint_id = record.listed.endpoint_id
         cached = self.cached_by_id_.get(endpoint_id)
         known = float(cached.cached_tokens(shape)) if cached is not None else 0.0
@@ -217,7 +224,10 @@
     def record_sent(
         self, record: EndpointRecord, shape: PromptShape, memory_tokens: int
     ) -> SentPrompt:
-        """Count a prompt that goes to an engine; hand the result back at its end."""
+        """Count a prompt that is sent to an engine.
+
+        The result is passed to `record_started` when the prefill or the attempt ends.
+        """
         endpoint_id = record.listed.endpoint_id
         cached = self.cached_by_id_.setdefault(endpoint_id, CachedParts())
         tokens = float(max(0, shape.tokens_in - cached.cached_tokens(shape)))
@@ -228,7 +238,7 @@
         return SentPrompt(endpoint_id, tokens)
 
     def record_started(self, sent: SentPrompt) -> None:
-        """Count that the prompt has been read, or that its attempt is over."""
+        """Record that the prefill of a prompt, or its attempt, has ended."""
         remaining = self.pending_by_id_.get(sent.endpoint_id, 0.0) - sent.prefill_tokens
         if remaining > 0.0:
             self.pending_by_id_[sent.endpoint_id] = remaining
@@ -236,7 +246,7 @@
             self.pending_by_id_.pop(sent.endpoint_id, None)
 
     def record_first_token(self, sent: SentPrompt, elapsed_ms: float) -> None:
-        """Learn how fast prompts are read."""
+        """Update the estimate of the prefill rate."""
         if sent.prefill_tokens >= RATE_SAMPLE_MIN_TOKENS and elapsed_ms > 0.0:
             self.tokens_per_ms_.update(
                 min(
@@ -246,7 +256,7 @@
             )
 
     def retain(self, known: set[EndpointId]) -> None:
-        """Forget engines that left."""
+        """Forget the engines that are not in `known`."""
         self.pools.retain(known)
         for table in (self.cached_by_id_, self.pending_by_id_):
             for endpoint_id in set(table) - known:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_halls.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_halls.py
@@ -1,9 +1,9 @@
-"""Know which data halls the operator has evacuated.
+"""Track which data halls the operator has evacuated.
 
-Written from the store and from peers, in any order of arrival; positions in the history
-of the store decide what is newer. Owned by the roster, which gives endpoints of an
-evacuated hall no new work. Work that runs there is left alone, and results that lie
-there are read as long as they last.
+Notices come from the store and from peers in any order; positions in the history of the
+store decide which one is newer. Owned by the roster, which gives endpoints in an
+evacuated hall no new work. Work that already runs there continues, and results that are
+stored there can be read for as long as they exist.
 """
 
 from collections.abc import Iterable
@@ -13,15 +13,16 @@
 from leadford.common import HallId
 from leadford.forwarding.history import FIRST_EPOCH, StoreEpoch, StorePosition
 
-# Halls whose evacuation is over and still remembered, so that an older notice does not
-# bring it back; far more than a fleet has.
+# Number of remembered halls above which those whose evacuation has ended are forgotten.
+# They are remembered so that an older notice does not start the evacuation again. The
+# limit is far above the number of halls of a fleet.
 MAX_HALLS_COUNT = 2_000
-# Seconds for which a hall stays evacuated after a restored store lacks its evacuation.
+# How long a hall stays evacuated when a restored store lacks its evacuation.
 LOST_EVACUATION_S = 6.0
 
 
 class HallNotice(msgspec.Struct, frozen=True):
-    """Say whether a hall was evacuated at a revision of the store."""
+    """State whether a hall was evacuated at a revision of the store."""
 
     hall: HallId
     revision: int
@@ -30,16 +31,22 @@
 
     @property
     def order(self) -> tuple[StorePosition, bool]:
-        """Return what orders notices; the end of one may bear its last revision."""
+        """Return the sort key of notices.
+
+        The end of an evacuation may have the same revision as the evacuation itself,
+        and then sorts after it.
+        """
         return (StorePosition(self.epoch, self.revision), not self.is_evacuated)
 
     def in_epoch(self, epoch: StoreEpoch) -> "HallNotice":
-        """Return the same, told in an epoch of the store."""
+        """Return a copy of this notice in the given epoch of the store."""
         return msgspec.structs.replace(self, epoch=epoch)
 
 
 class _Lost(msgspec.Struct, frozen=True):
-    """Hold which listing of a restored store lacked an evacuation.
+    """Hold the position of the restored store's listing that lacked an evacuation.
+
+    `until` is when the hall stops counting as evacuated.
 
     Units: until in seconds of the monotonic clock.
     """
@@ -49,11 +56,11 @@
 
 
 class EvacuatedHalls:
-    """Join notices on halls by the positions they were made at.
+    """Merge notices about halls by their positions in the history of the store.
 
     `is_known` is false where halls can be evacuated and neither the store nor a peer
-    has told yet which are: an entry that starts during an evacuation must send nothing
-    before it knows.
+    has yet said which ones are: an entry that starts during an evacuation must send
+    nothing before it knows.
     """
 
     def __init__(self, *, is_known: bool = True) -> None:
@@ -63,12 +70,12 @@
         self.lost_by_hall_: dict[HallId, _Lost] = {}
 
     def record(self, notice: HallNotice) -> bool:
-        """Record one notice; return whether it changed what holds for its hall."""
+        """Record a notice; return whether it changed the state of its hall."""
         known = self.by_hall_.get(notice.hall)
         if known is not None and notice.order <= known.order:
             return False
         self.lost_by_hall_.pop(notice.hall, None)
-        # Moved to the end, so that the oldest is forgotten first.
+        # Moved to the end, so that the hall with the oldest notice is forgotten first.
         self.by_hall_.pop(notice.hall, None)
         self.by_hall_[notice.hall] = notice
         self._forget_oldest()
@@ -78,10 +85,10 @@
     def replace(
         self, evacuated: Iterable[HallNotice], position: StorePosition, now: float
     ) -> list[HallNotice]:
-        """Record a whole listing made at a position, and return what it changed.
+        """Record a complete listing at a position, and return the notices that changed.
 
-        A hall that a later epoch of the store lacks stays evacuated for a while: the
-        operator writes again what a copy does not have.
+        A hall whose evacuation is missing in a later epoch of the store stays evacuated
+        for `LOST_EVACUATION_S`, so that the operator can write the evacuation again.
         """
         listed = list(evacuated)
         seen = {notice.hall for notice in listed}
@@ -98,7 +105,7 @@
         return [notice for notice in listed if self.record(notice)]
 
     def expire(self, now: float) -> list[HallNotice]:
-        """Give halls back whose evacuation was not written again; return which."""
+        """End the evacuations that were not written again in time; return them."""
         ended = [
             HallNotice(hall, lost.position.revision, False, lost.position.epoch)
             for hall, lost in self.lost_by_hall_.items()
@@ -107,14 +114,14 @@
         return [notice for notice in ended if self.record(notice)]
 
     def is_evacuated(self, hall: HallId) -> bool:
-        """Tell whether a hall gets no new work."""
+        """Tell whether endpoints in a hall get no new work."""
         if not self.is_known_:
             return True
         notice = self.by_hall_.get(hall)
         return notice is not None and notice.is_evacuated
 
     def notices(self) -> list[HallNotice]:
-        """Return what is known of every hall that was ever evacuated."""
+        """Return the newest notice about each remembered hall."""
         return list(self.by_hall_.values())
 
     def _forget_oldest(self) -> None:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
@@ -1,12 +1,12 @@
-"""Keep what an endpoint gets from all entries within the limit that it names.
-
-An endpoint in need names in its answers how many requests a second it takes from all
-entries together, for as long as its answers say so. It is asked about each endpoint
-before that is chosen, and told of each request that is sent. No message is needed to
-share a limit: rendezvous over the entries that exist names a few that may use the
-endpoint while it is limited, and each of them has a part of the rate. The others hear
-of a limit and of its end from these, in heartbeats. Calls of a batched stage are made
-by one entry, which has the whole rate.
+"""Keep the requests of all entries to an endpoint within the limit that it names.
+
+An overloaded endpoint names in its answers how many requests per second it accepts from
+all entries together; the limit holds until an answer names none. `EndpointLimits` is
+queried before an endpoint is chosen and is told of each request that is sent. Dividing
+a limit needs no messages: rendezvous hashing over the existing entries selects a few
+that may use the endpoint while it is limited, and each of them gets a share of the
+rate. The other entries learn of a limit and of its end from these, through heartbeats.
+Calls of a batched stage are made by one entry, which has the whole rate.
 """
 
 from collections.abc import Collection
@@ -15,29 +15,29 @@
 
 from leadford.common import EndpointId, EntryId, TokenBucket, rendezvous_order
 
-# Entries that use a limited endpoint. Each may send one request beyond its part of the
-# rate, and an endpoint bears five at once beyond what it names.
+# Entries that use a limited endpoint. Each may send one request beyond its share of the
+# rate, and an endpoint tolerates five at once beyond its limit.
 MAX_SHARERS = 4
 # Requests that an entry may send at once.
 BURST_REQUESTS = 1.0
-# Requests a second that an endpoint gets at least: only an answer tells that a limit
-# is over.
+# Minimum rate of requests to an endpoint: only an answer can show that its limit has
+# ended.
 MIN_RATE_PER_S = 0.25
-# Seconds after which an entry without a part asks an endpoint by itself, if nobody has
-# told of the limit since.
+# Time after which an entry without a share sends a request of its own to the endpoint,
+# if no other entry has reported the limit since.
 UNREPORTED_LIMIT_S = 30.0
-# Seconds that news may take to an entry and back: a little more than twice the silence
-# after which a peer no longer counts as alive.
+# Maximum time for a report to travel to another entry and back: a little more than
+# twice the silence after which a peer no longer counts as alive.
 ROUND_TRIP_S = 2.0
-# Seconds for which the end of a limit is told.
+# How long the end of a limit is reported to other entries.
 ENDED_REPORT_S = 10.0
 
 
 class KnownLimit(msgspec.Struct, frozen=True):
-    """Hold what is known of an endpoint's limit, and at which moment it held.
+    """Hold what is known of an endpoint's limit, and when this was true.
 
-    Units: per_s in requests a second, None where the limit is over; known_at in seconds
-    of the monotonic clock.
+    Units: per_s in requests per second, None where the limit has ended; known_at in
+    seconds of the monotonic clock.
     """
 
     endpoint_id: EndpointId
@@ -46,20 +46,20 @@
 
 
 class EndpointLimits:
-    """Say how soon this entry may send another request to an endpoint."""
+    """Decide when this entry may send another request to an endpoint."""
 
     def __init__(self, *, entry_id: EntryId) -> None:
         self.entry_id = entry_id
         self.entry_ids_: tuple[EntryId, ...] = (entry_id,)
-        # How many entries share a limit with this one; 0 where it has no part.
+        # How many entries share the limit, this one included; 0 if it has no share.
         self.sharers_by_id_: dict[EndpointId, int] = {}
         self.known_by_id_: dict[EndpointId, KnownLimit] = {}
         self.bucket_by_id_: dict[EndpointId, TokenBucket] = {}
-        # When this entry, without a part, last asked an endpoint by itself.
+        # When this entry last sent a request to an endpoint without having a share.
         self.probed_at_by_id_: dict[EndpointId, float] = {}
 
     def set_entries(self, entry_ids: Collection[EntryId]) -> None:
-        """Share limits over the entries that exist; what was sent stays counted."""
+        """Set the existing entries; requests that were already sent stay counted."""
         self.entry_ids_ = tuple(sorted({*entry_ids, self.entry_id}))
         self.sharers_by_id_.clear()
 
@@ -71,9 +71,10 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Record what the answer to a request says, which was sent at a moment.
+        """Record the limit, if any, that an answer to a request names.
 
-        One that names no limit ends only what was known before it was asked for.
+        An answer without a limit ends only a limit that was known before its request
+        was sent, at `sent_at`.
         """
         known = self.known_by_id_.get(endpoint_id)
         if per_s is not None:
@@ -82,10 +83,11 @@
             self._end(KnownLimit(endpoint_id, None, sent_at))
 
     def record_heard(self, heard: KnownLimit) -> None:
-        """Record what another entry knows, unless this one knows something newer."""
+        """Record what another entry reports, unless this one knows something newer."""
         known = self.known_by_id_.get(heard.endpoint_id)
         if known is not None:
-            # Ages leave out the way of a message: what is told again is no news by it.
+            # Reported ages do not include the time that the message took, so a repeated
+            # report may look newer than it is.
             min_gain_s = ROUND_TRIP_S if heard.per_s == known.per_s else 0.0
             if heard.known_at <= known.known_at + min_gain_s:
                 return
@@ -95,23 +97,23 @@
             self._end(heard)
 
     def known(self, now: float) -> list[KnownLimit]:
-        """Return what other entries have to hear: limits, and those just over."""
+        """Return what to report to other entries: limits, and those that just ended."""
         for limit in list(self.known_by_id_.values()):
             if limit.per_s is None and now - limit.known_at > ENDED_REPORT_S:
                 self._forget(limit.endpoint_id)
         return list(self.known_by_id_.values())
 
     def is_limited(self, endpoint_id: EndpointId) -> bool:
-        """Tell whether an endpoint is believed to have a limit."""
+        """Tell whether an endpoint has a limit, as far as this entry knows."""
         known = self.known_by_id_.get(endpoint_id)
         return known is not None and known.per_s is not None
 
     def wait_s(
         self, endpoint_id: EndpointId, now: float, *, is_alone: bool = False
     ) -> float:
-        """Return in how many seconds another request may go to an endpoint.
+        """Return the seconds until another request may be sent to an endpoint.
 
-        `is_alone` says that only this entry sends to it.
+        `is_alone` says that only this entry sends requests to it.
         """
         known = self.known_by_id_.get(endpoint_id)
         if known is None or known.per_s is None:
@@ -125,7 +127,7 @@
     def record_sent(
         self, endpoint_id: EndpointId, now: float, *, is_alone: bool = False
     ) -> None:
-        """Count a request that goes to an endpoint."""
+        """Count a request that is sent to an endpoint."""
         known = self.known_by_id_.get(endpoint_id)
         if known is None or known.per_s is None:
             return
@@ -136,7 +138,10 @@
             self.probed_at_by_id_[endpoint_id] = now
 
     def retain(self, endpoint_ids: Collection[EndpointId], now: float) -> None:
-        """Forget endpoints that left; one that a store forgot may be listed again."""
+        """Forget old limits of endpoints that are not in `endpoint_ids`.
+
+        Recent ones are kept: an endpoint that the store lost may be listed again.
+        """
         kept = set(endpoint_ids)
         for endpoint_id in self.known_by_id_.keys() - kept:
             if now - self.known_by_id_[endpoint_id].known_at > UNREPORTED_LIMIT_S:
@@ -155,7 +160,7 @@
     def _bucket(
         self, known: KnownLimit, now: float, *, is_alone: bool
     ) -> TokenBucket | None:
-        """Return this entry's part of a limit as it is now, if it has any."""
+        """Return the bucket of this entry's share of a limit, or None."""
         sharers = 1 if is_alone else self._sharers(known.endpoint_id)
         if sharers == 0:
             return None
@@ -170,7 +175,7 @@
         return bucket
 
     def _sharers(self, endpoint_id: EndpointId) -> int:
-        """Return how many entries share a limit with this one; 0 if it has no part."""
+        """Return how many entries share a limit, or 0 if this entry has no share."""
         count = self.sharers_by_id_.get(endpoint_id)
         if count is None:
             sharers = rendezvous_order(endpoint_id, self.entry_ids_)[:MAX_SHARERS]
--- a/packages/leadford/src/leadford/forwarding/endpoints/_model.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_model.py
@@ -1,6 +1,7 @@
-"""Describe endpoints as the platform lists them and as their answers report.
+"""Define endpoints as the platform lists them, and the reports in their answers.
 
-Listed endpoints travel between entries by field name, so these names stay.
+Entries send listed endpoints to each other by field name, so the names of these fields
+must not change.
 """
 
 from enum import Enum
@@ -16,21 +17,21 @@
 
 
 class ListedState(Enum):
-    """Say whether a listed endpoint takes new work."""
+    """State whether a listed endpoint takes new work."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True):
-    """Describe one start of an endpoint; another start has another id.
+    """Describe one start of an endpoint; each start has its own id.
 
-    `listed_as` is the name it is listed under, which a later start may have too, and
-    `born` tells which start is later; both are left out where ids are drawn anew, and
-    `epoch` where the store tells none.
+    `listed_as` is the name under which the endpoint is listed, which later starts may
+    share, and `born` tells which start is later. Both are unset where each start draws
+    a new id, and `epoch` is unset where the store reports none.
 
-    Units: cold_ms is how much longer it stays slow; revision orders the listings of an
-    epoch of the store; born in milliseconds since 1970.
+    Units: cold_ms is how much longer the endpoint stays cold; revision orders the
+    listings of an epoch of the store; born in milliseconds since 1970.
     """
 
     endpoint_id: EndpointId
@@ -47,26 +48,26 @@
 
     @property
     def position(self) -> StorePosition:
-        """Return where in the history of the store it was listed so."""
+        """Return the position of this listing in the history of the store."""
         epoch = FIRST_EPOCH if self.epoch is msgspec.UNSET else self.epoch
         return StorePosition(epoch, self.revision)
 
     def in_epoch(self, epoch: StoreEpoch) -> "ListedEndpoint":
-        """Return the same, listed in an epoch of the store."""
+        """Return a copy of this listing in the given epoch of the store."""
         listed_epoch = msgspec.UNSET if epoch == FIRST_EPOCH else epoch
         return msgspec.structs.replace(self, epoch=listed_epoch)
 
     @property
     def name(self) -> str:
-        """Return the name it is listed under."""
+        """Return the name under which the endpoint is listed."""
         if self.listed_as is msgspec.UNSET:
             return self.endpoint_id
         return self.listed_as
 
     def starts_after(self, other: "ListedEndpoint") -> bool:
-        """Tell whether this is a later start than another one of the same name.
+        """Tell whether this start is later than another one of the same name.
 
-        Where none tells when it started, the listings decide.
+        Where neither has a start time, the positions of the listings decide.
         """
         return (self._born, self.position) > (other._born, other.position)
 
@@ -76,11 +77,13 @@
 
 
 class Backpressure(msgspec.Struct, frozen=True):
-    """Hold what an endpoint asks in an answer of those that send to it.
+    """Hold what an answer of an endpoint asks of the entries that send to it.
 
-    Units: limit_per_s is the requests a second that it takes from all entries together,
-    None where it names no limit; rest_s is how long it wants nothing more from the
-    entry that it turned away, in seconds.
+    `is_leaving` says that the endpoint takes no new work from now on.
+
+    Units: limit_per_s is the rate of requests that it accepts from all entries
+    together, None where it names no limit; rest_s is how long the entry that it refused
+    should send it no more requests, in seconds.
     """
 
     limit_per_s: float | None = None
@@ -89,7 +92,7 @@
 
 
 class ReportedLoad(msgspec.Struct, frozen=True):
-    """Hold the load that an endpoint put on an answer."""
+    """Hold the load that an endpoint reported in an answer."""
 
     running: int
     waiting: int
--- a/packages/leadford/src/leadford/forwarding/endpoints/_pools.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_pools.py
@@ -1,10 +1,10 @@
-"""Split the engines of a large service into pools, and say which one reads a prompt.
+"""Split the engines of a large service into pools, and assign prompts to pools.
 
-Scoring an engine takes some 8 microseconds. With 1,228 engines one prompt took 6 to 13
-ms (by timing 60 prompts), more than the entry that places the prompts of all has for
-each. Prompts that share their last shared part read the same pool, so what is kept of
-it stays together. Half as many pools hold the same engines two by two, so a service
-that grows or shrinks keeps most of what its engines have read in place.
+Scoring an engine takes about 8 microseconds. With 1,228 engines, a prompt takes 6 to 13
+ms, which is more time than the entry that places the prompts of all entries has for
+each. Prompts with the same last shared part use the same pool, so the cached tokens of
+that part stay in one pool. Halving the number of pools merges them in pairs, so when a
+service grows or shrinks, most cached tokens are still in the right pool.
 """
 
 from collections.abc import Sequence
@@ -12,12 +12,12 @@
 from leadford.common import EndpointId, stable_hash
 from leadford.forwarding.endpoints._record import EndpointRecord
 
-# Engines that a pool has at most, on average: 1 ms for a prompt.
+# Maximum average number of engines of a pool: about 1 ms for each prompt.
 MAX_POOL_ENGINES = 200
 
 
 def pool_count(engines: int) -> int:
-    """Return into how many pools engines are split: a power of two."""
+    """Return the number of pools for a number of engines: a power of two."""
     count = 1
     while engines > MAX_POOL_ENGINES * count:
         count *= 2
@@ -25,12 +25,12 @@
 
 
 def prompt_pool(key: str, count: int) -> int:
-    """Return the pool that reads prompts with a shared part."""
+    """Return the index of the pool for prompts with the last shared part `key`."""
     return stable_hash("prompt", key) % count
 
 
 class EnginePools:
-    """Remember which engines belong together."""
+    """Select the engines of a pool, with cached hashes of their ids."""
 
     def __init__(self) -> None:
         self.hash_by_id_: dict[EndpointId, int] = {}
@@ -38,7 +38,7 @@
     def members(
         self, records: Sequence[EndpointRecord], key: str
     ) -> Sequence[EndpointRecord]:
-        """Return the engines that read prompts with a shared part; all without one."""
+        """Return the engines of the pool for a part, or all if `key` is empty."""
         count = pool_count(len(records))
         if count == 1 or not key:
             return records
@@ -57,6 +57,6 @@
         return known
 
     def retain(self, known: set[EndpointId]) -> None:
-        """Forget engines that left."""
+        """Forget the engines that are not in `known`."""
         for endpoint_id in set(self.hash_by_id_) - known:
             del self.hash_by_id_[endpoint_id]
--- a/packages/leadford/src/leadford/forwarding/endpoints/_prompts.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_prompts.py
@@ -1,9 +1,10 @@
-"""Hold what a prompt is made of, and what an engine keeps of those that it read.
+"""Describe the parts of a prompt, and the parts that an engine is assumed to cache.
 
-Prompts come in parts, of which all but the last are shared with other prompts. An
-engine need not read again what it keeps from the start of a prompt; what that is can
-only be guessed from what was sent there, by the part that was used last. Read by the
-choice of engines in `_engines`; nothing here decides.
+A prompt consists of parts, of which all but the last are shared with other prompts. An
+engine needs no prefill for the cached parts at the start of a prompt. Its cache can
+only be estimated from the prompts that were sent there, with the least recently used
+part evicted first. `_engines` uses these estimates to choose engines; this module
+decides nothing.
 """
 
 from collections import OrderedDict
@@ -12,7 +13,7 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """Hold one part of a prompt.
+    """Describe one part of a prompt.
 
     Units: tokens.
     """
@@ -22,9 +23,9 @@
 
 
 class PromptShape(msgspec.Struct, frozen=True):
-    """Hold the parts of a prompt in order, and its length.
+    """Describe the parts of a prompt in order, and its total length.
 
-    Units: tokens_in is the whole prompt, the parts included.
+    Units: tokens_in is the length of the whole prompt in tokens, including the parts.
     """
 
     parts: tuple[PromptPart, ...]
@@ -32,38 +33,38 @@
 
     @property
     def own_part(self) -> str:
-        """Return the id of the part that tells the prompt from others."""
+        """Return the id of the last part, which tells the prompt from others."""
         return self.parts[-1].part_id if self.parts else ""
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
         """Return the parts that other prompts have too: all but the last one.
 
-        The last part is of the request itself, or of its session; a prompt of one
-        part is taken to share it.
+        The last part belongs to the request itself or to its session. The only part
+        of a prompt counts as shared.
         """
         return self.parts[:-1] if len(self.parts) > 1 else self.parts
 
     @property
     def pool_key(self) -> str:
-        """Return the part by which prompts are split over pools; empty without any."""
+        """Return the id of the part that selects the pool, empty if there is none."""
         return self.shared[-1].part_id if self.shared else ""
 
     @property
     def shared_tokens(self) -> int:
-        """Return the length of the shared parts."""
+        """Return the number of tokens in the shared parts."""
         return sum(part.tokens for part in self.shared)
 
 
 class CachedParts:
-    """Remember the parts that an engine read last, up to its memory."""
+    """Track the most recently used parts of an engine, up to a number of tokens."""
 
     def __init__(self) -> None:
         self.tokens_by_part_: OrderedDict[str, int] = OrderedDict()
         self.total_tokens_ = 0
 
     def touch(self, part: PromptPart, max_tokens: float) -> None:
-        """Remember a part as read last, and drop the oldest beyond `limit` tokens."""
+        """Mark a part as used last; evict the oldest parts beyond `max_tokens`."""
         known = self.tokens_by_part_.pop(part.part_id, 0)
         self.tokens_by_part_[part.part_id] = part.tokens
         self.total_tokens_ += part.tokens - known
@@ -72,7 +73,7 @@
             self.total_tokens_ -= tokens
 
     def cached_tokens(self, shape: PromptShape) -> int:
-        """Return how many tokens at the start of a prompt are kept."""
+        """Return how many tokens at the start of a prompt are cached."""
         total = 0
         for part in shape.parts:
             if part.part_id not in self.tokens_by_part_:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_record.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_record.py
@@ -1,12 +1,12 @@
-"""Hold what this process believes of one endpoint, and when it is held suspect.
-
-The rule: a failure that leaves the endpoint itself in doubt makes it suspect at once,
-one that a sound endpoint may show now and then only when it comes twice in a row.
-Suspicion is local, grows with each further failure, and ends by itself or with the next
-success. The forwarder and the scheduler of batches record what they see here; the
-choosers of endpoints read it. Ejection in `leadford.pipelines.ejection` is another
-rule: it compares endpoints of a pool with each other, probes them, and bounds how many
-are out.
+"""Track the observed state of one endpoint, and decide when it is suspect.
+
+A failure that suggests that the endpoint itself is broken makes it suspect at once. A
+failure that a healthy endpoint may show occasionally makes it suspect only when two
+come in a row. Suspicion is local to this process, lasts longer with each further
+failure, and ends after its time or with the next success. The forwarder and the batch
+scheduler record their observations here, and the endpoint choosers read them. Ejection
+in `leadford.pipelines.ejection` is a separate rule: it compares the endpoints of a pool
+with each other, probes them, and limits how many are ejected.
 """
 
 from enum import Enum
@@ -18,27 +18,27 @@
     ReportedLoad,
 )
 
-# Seconds of the first suspicion; each further failure in a row doubles it up to the
-# most.
+# Duration of the first suspicion; each further failure in a row doubles it, up to the
+# maximum.
 SUSPECT_BASE_S = 0.4
 SUSPECT_MAX_S = 6.0
-# Doublings after which the time no longer grows, so that the power stays small.
+# Maximum exponent of the doubling, so that the power stays small.
 SUSPECT_DOUBLINGS_MAX = 6
-# Failures in a row from which any kind of failure makes an endpoint suspect.
+# Failures in a row at which any kind of failure makes an endpoint suspect.
 FAILURES_FOR_SUSPICION = 2
-# Seconds that a load report is believed.
+# How long a load report counts as current.
 LOAD_FRESH_S = 1.0
-# Weights of the newest outcome in the averages, from 0 to 1.
+# Weights of the newest value in the moving averages, from 0 to 1.
 FAILURE_WEIGHT = 0.2
 LATENCY_WEIGHT = 0.2
 SLOWNESS_WEIGHT = 0.4
-# Seconds in which half of an observed slowness is forgotten, so that an endpoint that
-# gets no calls is tried again.
+# Half-life of an observed slowness, so that an endpoint that gets no calls is tried
+# again.
 SLOWNESS_HALF_LIFE_S = 2.0
 
 
 class EndpointFailure(Enum):
-    """Say how an endpoint failed an attempt or a call."""
+    """State how an endpoint failed an attempt or a call."""
 
     LOST = "lost"
     SILENT = "silent"
@@ -54,17 +54,15 @@
 
 
 class EndpointRecord:
-    """Join the listing of an endpoint with direct evidence of it.
-
-    Suspicion is local and expires; a success ends it.
-    """
+    """Hold the listing of an endpoint and the direct observations of it."""
 
     def __init__(self, *, listed: ListedEndpoint) -> None:
         self.listed = listed
-        # Until then it is used in need only: its record may be that of a copy.
+        # Until then the endpoint is a last resort: a restored store may list it though
+        # it was removed after the copy was made.
         self.doubted_until_ = 0.0
         self.in_flight_ = 0
-        # Requests under which other endpoints ended.
+        # Requests in flight that ran at other endpoints when those ended.
         self.suspects_in_flight_ = 0
         self.failures_in_a_row_ = 0
         self.suspect_until_ = 0.0
@@ -80,10 +78,10 @@
         self.slowness_at_ = 0.0
 
     def record_listed_cold(self, listed: ListedEndpoint, now: float) -> None:
-        """Record how long a listing says that the endpoint stays cold.
+        """Record how long the endpoint stays cold according to a listing.
 
-        A listing that is told again says nothing new, and one that says nothing of it
-        may be older than the cold it would end.
+        A listing that was already recorded is ignored. A listing without a cold time
+        does not end the cold period, because it may be older than that period.
         """
         if listed.cold_ms <= 0.0 or listed.revision <= self.cold_revision_:
             return
@@ -91,34 +89,35 @@
         self.record_cold(now + listed.cold_ms / 1_000.0)
 
     def record_cold(self, until: float) -> None:
-        """Record that the endpoint stays cold until a moment."""
+        """Record that the endpoint stays cold at least until a given time."""
         self.cold_until_ = max(self.cold_until_, until)
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the endpoint bears few requests yet."""
+        """Tell whether the endpoint is cold and can serve only few requests."""
         return now < self.cold_until_
 
     def record_backpressure(self, asked: Backpressure) -> bool:
-        """Record what an answer asks; return whether that is news."""
+        """Record the backpressure of an answer; return whether it changed."""
         is_changed = asked != self.backpressure_
         self.backpressure_ = asked
         return is_changed
 
     def record_load(self, load: ReportedLoad, now: float) -> None:
-        """Record the load on an answer."""
+        """Record the load that an answer reports."""
         self.load_ = load
         self.load_at_ = now
 
     def record_slowness(self, ratio: float, now: float) -> None:
-        """Record how many times longer than expected a call took, or has lasted."""
+        """Record the ratio of a call's duration, so far or in all, to the expected."""
         self.slowness_.value_ = self.slowness(now)
         self.slowness_.update(ratio)
         self.slowness_at_ = now
 
     def slowness(self, now: float) -> float:
-        """Return how many times longer than expected calls take.
+        """Return the ratio of the duration of calls to the expected duration.
 
-        What is beyond 1 fades: an endpoint that gets no calls shows no better.
+        The excess over 1 decays with time, because an endpoint that gets no calls
+        cannot show that it has become faster.
         """
         excess = self.slowness_.value_ - 1.0
         if excess <= 0.0:
@@ -126,7 +125,7 @@
         return 1.0 + excess * 0.5 ** ((now - self.slowness_at_) / SLOWNESS_HALF_LIFE_S)
 
     def record_success(self, elapsed_ms: float) -> None:
-        """Record a good answer and its time."""
+        """Record a successful answer and its latency."""
         self.failures_in_a_row_ = 0
         self.suspect_until_ = 0.0
         self.failure_rate_.update(0.0)
@@ -144,21 +143,21 @@
         self.suspect_until_ = max(self.suspect_until_, now + suspect_s)
 
     def record_replaced(self) -> None:
-        """Record proof that another process has the address."""
+        """Record that another process is known to have taken over the address."""
         self.is_replaced_ = True
 
     def is_suspect(self, now: float) -> bool:
-        """Tell whether recent failures keep new work away."""
+        """Tell whether the endpoint is suspect because of recent failures."""
         return now < self.suspect_until_
 
     def is_surely_idle(self, now: float) -> bool:
-        """Tell whether a fresh report shows no work of other processes."""
+        """Tell whether a current load report shows no work of other processes."""
         if self.load_ is None or now - self.load_at_ > LOAD_FRESH_S:
             return False
         return self.waiting_elsewhere(now) == 0
 
     def waiting_elsewhere(self, now: float) -> int:
-        """Return how much work of other processes a fresh report showed."""
+        """Return the number of requests of other processes in a current load report."""
         if self.load_ is None or now - self.load_at_ > LOAD_FRESH_S:
             return 0
         return max(0, self.load_.running + self.load_.waiting - self.in_flight_)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_removed.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_removed.py
@@ -1,8 +1,8 @@
-"""Remember endpoints that were removed from the listing a short while ago.
+"""Keep endpoints that were recently removed from the listing.
 
-Owned by the roster, which uses them where the listing is at fault: a store that was
-away removes endpoints that work, and one that is restored from a copy has lost some
-records.
+Owned by the roster, which uses them where the listing is wrong: after an outage the
+store may remove endpoints that still work, and a store that was restored from a copy
+lacks some records.
 """
 
 import msgspec
@@ -15,8 +15,9 @@
 class RemovedEndpoint(msgspec.Struct, frozen=True):
     """Hold the record of an endpoint that was removed, and when.
 
-    `is_lost` where it is missing in a later epoch of the store than it was listed in:
-    the store has lost its record, and nothing says that it left.
+    `is_lost` is true where the endpoint is missing in a later epoch of the store than
+    the one it was listed in: the store has lost its record, which does not mean that
+    the endpoint has left.
 
     Units: removed_at in seconds of the monotonic clock.
     """
@@ -27,7 +28,7 @@
 
 
 class RemovedEndpoints:
-    """Hold removed endpoints for as long as they may be used.
+    """Hold removed endpoints for as long as they may still be used.
 
     Units: trusted_s in seconds.
     """
@@ -37,30 +38,30 @@
         self.by_id_: dict[EndpointId, RemovedEndpoint] = {}
 
     def add(self, record: EndpointRecord, now: float, *, is_lost: bool) -> None:
-        """Remember an endpoint that was removed now."""
+        """Add an endpoint that is removed now."""
         endpoint_id = record.listed.endpoint_id
         self.by_id_[endpoint_id] = RemovedEndpoint(record, now, is_lost)
 
     def forget(self, endpoint_id: EndpointId) -> None:
-        """Forget an endpoint that leaves, or that another start has ended."""
+        """Drop an endpoint that is leaving, or that a later start has replaced."""
         self.by_id_.pop(endpoint_id, None)
 
     def take(self, endpoint_id: EndpointId) -> EndpointRecord | None:
-        """Forget an endpoint that is listed again; return what is known of it."""
+        """Drop an endpoint that is listed again, and return its record."""
         removed = self.by_id_.pop(endpoint_id, None)
         return None if removed is None else removed.record
 
     def record(self, endpoint_id: EndpointId) -> EndpointRecord | None:
-        """Return what is known of an endpoint that was removed."""
+        """Return the record of a removed endpoint."""
         removed = self.by_id_.get(endpoint_id)
         return None if removed is None else removed.record
 
     def ids(self) -> set[EndpointId]:
-        """Return the ids of those that are remembered."""
+        """Return the ids of the removed endpoints that are still held."""
         return set(self.by_id_)
 
     def trusted(self, service_id: ServiceId, now: float) -> list[RemovedEndpoint]:
-        """Return those of a service that may be used, and forget older ones."""
+        """Drop expired endpoints, and return those of a service that may be used."""
         for endpoint_id, removed in list(self.by_id_.items()):
             if now - removed.removed_at >= self.trusted_s:
                 del self.by_id_[endpoint_id]
--- a/packages/leadford/src/leadford/forwarding/endpoints/_rests.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_rests.py
@@ -1,30 +1,31 @@
-"""Remember which endpoints want nothing from this entry for a while.
+"""Track which endpoints have asked this entry to send no requests for some time.
 
-An endpoint that turns an entry away may say for how long it wants nothing from it. That
-binds this entry alone, also where the endpoint is listed anew meanwhile.
+An endpoint that refuses a request may say for how long it accepts no further ones from
+this entry. This applies to this entry only, and also when the endpoint is listed again
+in the meantime.
 """
 
 from leadford.common import EndpointId
 
 
 class EndpointRests:
-    """Say for how much longer an endpoint wants nothing from this entry."""
+    """Track how much longer endpoints accept no requests from this entry."""
 
     def __init__(self) -> None:
         self.until_by_id_: dict[EndpointId, float] = {}
 
     def record_asked(self, endpoint_id: EndpointId, until: float) -> None:
-        """Record until when an endpoint wants nothing; the latest moment holds."""
+        """Record until when an endpoint accepts no requests; the latest applies."""
         self.until_by_id_[endpoint_id] = max(
             until, self.until_by_id_.get(endpoint_id, until)
         )
 
     def left_s(self, endpoint_id: EndpointId, now: float) -> float:
-        """Return for how many seconds an endpoint wants nothing yet."""
+        """Return the seconds until an endpoint accepts requests again."""
         return max(0.0, self.until_by_id_.get(endpoint_id, now) - now)
 
     def sweep(self, now: float) -> None:
-        """Forget rests that are over."""
+        """Forget the endpoints that accept requests again."""
         for endpoint_id, until in list(self.until_by_id_.items()):
             if until <= now:
                 del self.until_by_id_[endpoint_id]
--- a/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -1,10 +1,10 @@
-"""Keep the endpoints of every service, in the order in which listings were made.
+"""Track the endpoints of every service, and decide which of them take new work.
 
-Written from the store and from peers, in any order of arrival; positions in the history
-of the store decide what is newer. It also decides which endpoints take new work: those
-listed as ready, and for a short while those that were removed together with most of
-their service, because a store that was away forgets endpoints that still work; none of
-them in a hall that the operator has evacuated.
+Listings come from the store and from peers in any order; positions in the history of
+the store decide which one is newer. Endpoints that are listed as ready take new work.
+Those that were removed together with most of their service do so for a short time,
+because after an outage the store may have lost endpoints that still work. Endpoints in
+a hall that the operator has evacuated take no new work.
 """
 
 from collections import Counter
@@ -20,23 +20,24 @@
 from leadford.forwarding.history import START, StorePosition
 from leadford.forwarding.routes import ServiceId
 
-# Removed endpoints whose revision is remembered.
+# Maximum number of endpoints that are no longer listed, or leaving, of which the last
+# state is remembered.
 MAX_REMEMBERED_ENDPOINTS = 2_000
-# Seconds within which an endpoint that works is listed again after a store that was
-# away removed it, as the platform promises; one that is missing for longer is gone.
+# Time within which the platform guarantees that a working endpoint is listed again
+# after a store outage removed it. An endpoint that is missing for longer is gone.
 RELIST_TIMEOUT_S = 2.0
-# Seconds before a leaving endpoint's allowance ends at which removed ones are not used
-# any more, so that what was chosen last still arrives in time.
+# Time before the end of an endpoint's drain period from which removed endpoints are no
+# longer used, so that the last requests still arrive in time.
 DRAIN_MARGIN_S = 0.9
-# Heartbeats without a word after which a record is surely removed; the platform removes
-# it after three.
+# Number of missed heartbeats after which a record is certainly removed; the platform
+# removes it after three.
 EXPIRY_HEARTBEATS = 4
-# Seconds between two heartbeats of an endpoint where the deployment tells none.
+# Heartbeat interval of an endpoint where the deployment sets none.
 DEFAULT_HEARTBEAT_S = 1.2
 
 
 class RosterChange(msgspec.Struct, frozen=True):
-    """Tell what a listing changed for one endpoint."""
+    """Describe the state of one endpoint before and after a change of the listing."""
 
     endpoint_id: EndpointId
     service_id: ServiceId
@@ -45,22 +46,24 @@
 
 
 class EndpointRoster:
-    """Join listings from several sources, by the positions they were made at.
-
-    An id is that of one start of an endpoint. So one that is listed as leaving stays
-    so, also where a store in trouble lists it as ready once more. A later start under
-    the same name ends an earlier one, whatever is told of that afterwards, and holds
-    nothing of what was believed of it. A removal that
-    was a mistake of the listing is undone by a listing with a later position. A store
-    that was away removes endpoints that kept working: when most of a service goes at
-    once, they are used for a short while, which must be less than what a leaving
-    endpoint allows.
-
-    A store that is restored from a copy lacks endpoints that were listed since, and
-    lists some that were removed since. The former are used for that short while, too;
-    the latter are doubted until the platform would have removed them.
-
-    Units: trusted_s and lapse_s in seconds.
+    """Merge listings from several sources by their positions in the store's history.
+
+    An id identifies one start of an endpoint. Therefore an endpoint that is listed as
+    draining stays so, even if the store lists it as ready again because of a delayed
+    write. A later start under the same name ends an earlier one, whatever is reported
+    of the earlier one afterwards, and inherits none of its observed state. A listing
+    with a later position reverts a mistaken removal.
+
+    After an outage the store may remove endpoints that still work: when most of a
+    service is removed at once, these endpoints are used for `trusted_s`, which must be
+    shorter than the drain period of an endpoint.
+
+    A store that was restored from a copy lacks endpoints that were listed after the
+    copy was made, and lists some that were removed after it. The former are also used
+    for `trusted_s`; the latter are a last resort for `expiry_s`, until the platform
+    would have removed them.
+
+    Units: trusted_s and expiry_s in seconds.
     """
 
     def __init__(
@@ -76,14 +79,14 @@
         self.removed_ = RemovedEndpoints(trusted_s=trusted_s)
         self.records_by_id_: dict[EndpointId, EndpointRecord] = {}
         self.ids_by_service_: dict[ServiceId, set[EndpointId]] = {}
-        # The start that is listed under a name, or was until it was removed.
+        # The start that is listed under a name, or was listed last.
         self.last_by_name_: dict[str, ListedEndpoint] = {}
         self.removed_position_by_name_: dict[str, StorePosition] = {}
-        # In the order in which they were learned, so that the oldest is forgotten.
+        # In order of arrival, so that the oldest is forgotten first.
         self.leaving_ids_: dict[EndpointId, None] = {}
         self.changed_position_ = START
         self.membership_version_ = 0
-        # Listed endpoints by hall, as counted at a version of the membership.
+        # Numbers of listed endpoints by hall, valid for `counted_at_version_`.
         self.listed_by_service_: dict[ServiceId, Mapping[HallId, int]] = {}
         self.counted_at_version_ = -1
 
@@ -91,9 +94,12 @@
     def from_bounds(
         cls, drain_s: float, heartbeat_s: float, halls: EvacuatedHalls | None = None
     ) -> "EndpointRoster":
-        """Return a roster for endpoints that serve so long after they said they leave.
+        """Return a roster for the drain period and heartbeat interval of a deployment.
+
+        `drain_s` is how long an endpoint serves after it has said that it leaves,
+        `heartbeat_s` the time between two records of an endpoint.
 
-        Units: seconds; heartbeat_s between two records of an endpoint.
+        Units: seconds.
         """
         trusted_s = max(0.0, min(RELIST_TIMEOUT_S, drain_s - DRAIN_MARGIN_S))
         expiry_s = EXPIRY_HEARTBEATS * heartbeat_s
@@ -102,7 +108,7 @@
     def replace(
         self, endpoints: Iterable[ListedEndpoint], position: StorePosition, now: float
     ) -> list[RosterChange]:
-        """Record a whole listing; what is known from a later position stays."""
+        """Record a complete listing; endpoints known from a later position stay."""
         changes = []
         seen = set()
         for endpoint in endpoints:
@@ -118,7 +124,7 @@
         return changes
 
     def _is_stale_copy(self, endpoint: ListedEndpoint) -> bool:
-        """Tell whether a restored store lists what was removed after its copy."""
+        """Tell whether a restored store lists one that was removed after its copy."""
         removed_position = self.removed_position_by_name_.get(endpoint.name)
         last = self.last_by_name_.get(endpoint.name)
         if (
@@ -133,13 +139,13 @@
         return is_same_start and endpoint.revision <= last.revision
 
     def _mark_doubted(self, endpoint_id: EndpointId, until: float) -> None:
-        """Use an endpoint only in need until the platform would have removed it."""
+        """Make an endpoint a last resort until a given time."""
         record = self.records_by_id_.get(endpoint_id)
         if record is not None:
             record.doubted_until_ = until
 
     def put(self, endpoint: ListedEndpoint) -> list[RosterChange]:
-        """Handle one listed endpoint unless something newer is known of it."""
+        """Record one listed endpoint, unless something newer is known of it."""
         endpoint_id = endpoint.endpoint_id
         last = self.last_by_name_.get(endpoint.name)
         is_other_start = last is not None and last.endpoint_id != endpoint_id
@@ -154,7 +160,7 @@
             return []
         is_known = endpoint_id in self.records_by_id_
         if not is_known and endpoint.position.epoch < self.changed_position_.epoch:
-            # The present history of the store does not have it.
+            # The current epoch of the store does not list it.
             return []
         ended = self._end_start(last.endpoint_id) if is_other_start else []
         self._remember_start(endpoint)
@@ -175,7 +181,7 @@
         return [self._change(record.listed, before.state.value, after)]
 
     def record_leaving(self, endpoint_id: EndpointId) -> None:
-        """Record that an endpoint itself says that it leaves, whatever is listed."""
+        """Record that an endpoint itself says that it leaves, whatever its listing."""
         self._remember_leaving(endpoint_id)
         record = self.records_by_id_.get(endpoint_id)
         if record is not None:
@@ -184,14 +190,14 @@
             )
 
     def _remember_leaving(self, endpoint_id: EndpointId) -> None:
-        """Keep a leaving endpoint from being used, also one that was just removed."""
+        """Keep a leaving endpoint from being used, even if it was just removed."""
         self.removed_.forget(endpoint_id)
         self.leaving_ids_[endpoint_id] = None
         while len(self.leaving_ids_) > MAX_REMEMBERED_ENDPOINTS:
             self.leaving_ids_.pop(next(iter(self.leaving_ids_)))
 
     def _remember_start(self, endpoint: ListedEndpoint) -> None:
-        """Record which start was listed last under a name."""
+        """Record the start that was listed last under its name."""
         self.last_by_name_.pop(endpoint.name, None)
         self.last_by_name_[endpoint.name] = endpoint
         while (
@@ -201,7 +207,7 @@
             self.last_by_name_.pop(next(iter(self.last_by_name_)))
 
     def _end_start(self, endpoint_id: EndpointId) -> list[RosterChange]:
-        """Forget a start that a later one under its name has ended."""
+        """Remove a start that a later one of the same name has replaced."""
         self.removed_.forget(endpoint_id)
         record = self.records_by_id_.pop(endpoint_id, None)
         if record is None:
@@ -211,7 +217,7 @@
         return [self._change(record.listed, record.listed.state.value, "gone")]
 
     def _new_record(self, endpoint: ListedEndpoint) -> EndpointRecord:
-        """Return a record; one that was just removed keeps what was learned."""
+        """Return a record for an endpoint; a recently removed one is reused."""
         record = self.removed_.take(endpoint.endpoint_id)
         if record is None:
             return EndpointRecord(listed=endpoint)
@@ -228,8 +234,8 @@
     ) -> list[RosterChange]:
         """Record that no endpoint is listed under a name any more.
 
-        `position` orders the removal against other listings of the endpoint; `seen_at`
-        is that of the answer that told it, which may hold later ones.
+        `position` orders the removal relative to other listings of the endpoint;
+        `seen_at` is that of the answer that reported it, which may hold later listings.
         """
         last = self.last_by_name_.get(name)
         endpoint_id = last.endpoint_id if last is not None else EndpointId(name)
@@ -256,14 +262,15 @@
         return [self._change(record.listed, record.listed.state.value, "gone")]
 
     def record(self, endpoint_id: EndpointId) -> EndpointRecord | None:
-        """Return what is believed of an endpoint that is listed or was until now."""
+        """Return the record of an endpoint that is listed or was recently removed."""
         record = self.records_by_id_.get(endpoint_id)
         return self.removed_.record(endpoint_id) if record is None else record
 
     def listed_by_hall(self, service_id: ServiceId) -> Mapping[HallId, int]:
         """Return how many endpoints of a service are listed in each hall.
 
-        Counted anew only when one has joined or left: each prompt asks twice.
+        The counts are cached until an endpoint joins or leaves, because each prompt
+        needs them twice.
         """
         if self.counted_at_version_ != self.membership_version_:
             self.listed_by_service_.clear()
@@ -292,7 +299,7 @@
         ]
 
     def _ready(self, service_id: ServiceId, now: float) -> list[EndpointRecord]:
-        """Return the endpoints of a service that serve, also in evacuated halls."""
+        """Return the endpoints that could take new work, also in evacuated halls."""
         listed = [
             self.records_by_id_[endpoint_id]
             for endpoint_id in self.ids_by_service_.get(service_id, ())
@@ -304,11 +311,12 @@
             if record.listed.state is not ListedState.READY or record.is_replaced_:
                 continue
             (doubted if now < record.doubted_until_ else usable).append(record)
-        # One that goes alone has left; most at once are a fault of the listing.
+        # A single endpoint that disappears has left. When most disappear at once, the
+        # listing is wrong.
         return usable + doubted if len(doubted) > len(usable) else usable
 
     def is_usable(self, record: EndpointRecord, now: float) -> bool:
-        """Tell whether an endpoint that was chosen before still takes new work."""
+        """Tell whether an endpoint that was chosen earlier still takes new work."""
         listed = record.listed
         if self.halls_.is_evacuated(listed.hall):
             return False
@@ -322,7 +330,7 @@
         return [r for r in self.records_by_id_.values() if r.listed.hall == hall]
 
     def known_ids(self) -> set[EndpointId]:
-        """Return the ids that are listed or were removed a short while ago."""
+        """Return the ids of endpoints that are listed or were recently removed."""
         return set(self.records_by_id_) | self.removed_.ids()
 
     def listed(self) -> list[ListedEndpoint]:
@@ -335,9 +343,9 @@
 
 
 def _merged(known: ListedEndpoint, reported: ListedEndpoint) -> ListedEndpoint:
-    """Return the newer of two listings of an endpoint; either may say that it leaves.
+    """Return the newer of two listings, as draining if either of them is.
 
-    A store in trouble may take a write long after it was sent, so a later revision may
+    An impaired store may apply a write long after it was sent, so a later revision may
     hold an earlier state.
     """
     newer = reported if reported.position > known.position else known
--- a/packages/leadford/src/leadford/forwarding/endpoints/_starts.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_starts.py
@@ -1,4 +1,4 @@
-"""Name the starts of an endpoint, which may keep its name over them."""
+"""Build the ids of the starts of an endpoint, which may keep its name."""
 
 import re
 
@@ -8,7 +8,7 @@
 
 
 def start_id(name: str, born: int | None) -> EndpointId:
-    """Return the id of one start of an endpoint, which may keep its name.
+    """Return the id of one start of an endpoint; without `born`, this is its name.
 
     Errors: raises ValueError for a name that looks like the id of a start.
     """
@@ -18,5 +18,5 @@
 
 
 def instance_name(endpoint_id: EndpointId) -> str:
-    """Return the name by which an endpoint knows itself."""
+    """Return the name that an endpoint uses for itself, from the id of a start."""
     return _START.sub("", endpoint_id)
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Endpoints and engines are chosen by load, evidence, kept parts and hall."""
+"""Endpoints and engines are chosen by load, failures, cached parts and hall."""
 
 from random import Random
 
@@ -120,7 +120,7 @@
     assert chooser.choose(engines, other, now=0.0) is not chosen
     chooser.record_started(sent)
     assert chooser.pending_by_id_ == {}
-    # The parts are kept there now, so the session goes back.
+    # The parts are cached there now, so the session returns.
     assert chooser.choose(engines, prompt, now=0.0) is chosen
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_cold.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""Cold endpoints get no more than they bear, summed over all entries."""
+"""All entries together send a cold endpoint no more requests than it can serve."""
 
 import pytest
 
@@ -40,7 +40,7 @@
 
 
 def sent_in_a_second(entries, record, began_at):
-    """Return how many requests go to an endpoint if all entries send all they may."""
+    """Return how many requests all entries may send to an endpoint in a second."""
     sent = 0
     for step in range(100):
         now = began_at + step / 100.0
@@ -65,7 +65,7 @@
     records = [cold_record(name=f"i-{number}") for number in range(28)]
     for entry in entries:
         usable = [record for record in records if entry.may_use(record, COLD, 10.0)]
-        # Four entries for each endpoint: most entries have several.
+        # Each endpoint is shared by four entries, so most entries have several.
         assert len(usable) < 14
     assert all(
         any(entry.may_use(record, COLD, 10.0) for entry in entries)
@@ -97,7 +97,7 @@
     record = cold_record(cold_ms=500.0, revision=4)
     record.record_listed_cold(record.listed, 20.0)
     assert not record.is_cold(20.1)
-    # One that is cold once more is listed anew.
+    # An endpoint that is cold again gets a new listing.
     again = cold_record(cold_ms=500.0, revision=5).listed
     record.record_listed_cold(again, 20.0)
     assert record.is_cold(20.1)
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_connections.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections stay within the bound of an endpoint and are not used near their end."""
+"""Connections stay within an endpoint's limit and are not reused near their end."""
 
 import pytest
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_halls.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_halls.py
@@ -1,4 +1,4 @@
-"""Halls that the operator evacuated get no new work, in whatever order it is told."""
+"""Evacuated halls get no new work, whatever the order in which notices arrive."""
 
 from hypothesis import given, strategies as st
 
@@ -80,7 +80,7 @@
     halls = EvacuatedHalls()
     halls.record(notice(5))
     assert halls.record(notice(5, False))
-    # A peer that has not heard of the end.
+    # From a peer that has not heard of the end.
     assert not halls.record(notice(5))
     assert not halls.is_evacuated(HALL)
     assert halls.record(notice(6))
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""All entries together keep to the limit that an endpoint names."""
+"""All entries together stay within the limit that an endpoint names."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from leadford.forwarding.endpoints import EndpointLimits, KnownLimit
 
 ID = EndpointId("e")
-# What an endpoint bears in any window of this length: one and a half times its limit,
-# and five more.
+# In any window of this length, an endpoint accepts one and a half times its limit, plus
+# five requests.
 WINDOW_S = 4.0
 LIMIT_FACTOR = 1.5
 LIMIT_SLACK = 5
@@ -28,7 +28,7 @@
 
 
 def sent_between(entries, began_at, ends_at, *, is_alone=False):
-    """Return when requests go to an endpoint if all entries send all they may."""
+    """Return the times of all requests if all entries send as many as they may."""
     times = []
     steps = round((ends_at - began_at) / STEP_S)
     for step in range(steps):
@@ -84,7 +84,7 @@
 def test_only_an_answer_to_a_later_request_ends_a_limit():
     (entry,) = fleet(1)
     name_limit([entry], 1.0, 10.0)
-    # Asked for before the limit was named, and answered out of order.
+    # Sent before the limit was named, and answered out of order.
     entry.record_answer(ID, None, sent_at=9.9, now=10.2)
     assert entry.is_limited(ID)
     entry.record_answer(ID, None, sent_at=10.5, now=10.6)
@@ -110,7 +110,7 @@
     first.record_answer(ID, None, sent_at=11.0, now=11.1)
     second.record_heard(*first.known(11.2))
     assert not second.is_limited(ID)
-    # What is told of later than it happened ends nothing newer.
+    # A late report changes nothing that is newer.
     second.record_heard(KnownLimit(ID, 1.0, 10.5))
     assert not second.is_limited(ID)
     assert second.known(30.0) == []
@@ -138,10 +138,11 @@
 
 @pytest.mark.parametrize("travel_s", [0.01, 0.25, 0.6])
 def test_news_do_not_become_newer_by_travelling_to_and_fro(travel_s):
-    """Entries tell the age of what they know, which leaves out the way of a message.
+    """A limit that entries report to each other in heartbeats keeps its age.
 
-    Each heartbeat made the same limit newer by that way at its receiver, and again at
-    the sender: with 0.25 s on the way a limit was as new as the answers that ended it.
+    Entries report the age of a limit without the travel time of the message. So each
+    heartbeat could make a limit newer at its receiver, and again at the sender; with
+    0.25 s of travel time it became as new as the answers that ended it.
     """
     entries = fleet(2)
     name_limit(entries[:1], 1.0, 10.0)
@@ -153,6 +154,6 @@
                 late = KnownLimit(ID, limit.per_s, limit.known_at + travel_s)
                 entry.record_heard(late)
     assert entries[0].known(30.0) == [KnownLimit(ID, 1.0, 10.0)]
-    # A request that took five seconds ends it.
+    # The answer to a request that took five seconds ends the limit.
     entries[0].record_answer(ID, None, sent_at=25.0, now=30.0)
     assert not entries[0].is_limited(ID)
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
@@ -1,7 +1,7 @@
-"""Prompts of many entries meet less often where one entry places them.
+"""Prompts of many entries wait for each other less often if one entry places them.
 
-Replays long prompts that come to 60 entries in turn, before 39 engines; each engine
-reads one prompt after the other.
+Replays long prompts that arrive at 60 entries in front of 39 engines; each engine
+prefills one prompt at a time.
 """
 
 from random import Random
@@ -21,10 +21,11 @@
 ENTRIES = 60
 MEMORY_TOKENS = 266_000
 TOKENS_PER_MS = 32.4
-# Prompts a second, and how long they come.
+# Prompts per second, and the duration of the replay.
 RATE = 28.0
 LENGTH_S = 20.0
-# Tokens of the shared parts: one of few, and one of the request's subject.
+# Tokens of the parts: one of a few shared ones, one shared by the requests on the same
+# subject, and the request's own.
 FIRST_TOKENS, SUBJECT_TOKENS, OWN_TOKENS = 2_500, 3_800, 2_900
 
 
@@ -44,14 +45,14 @@
 
 
 class Engine:
-    """Read one prompt after the other; know what was read."""
+    """Prefill one prompt at a time, and cache the parts of each."""
 
     def __init__(self):
         self.free_at = 0.0
         self.read = set()
 
     def take(self, shape, now):
-        """Return when the prompt is read, and whether it had to wait."""
+        """Return when the prefill ends, and whether it had to wait."""
         tokens = OWN_TOKENS
         for part in shape.shared:
             if part.part_id not in self.read:
@@ -63,7 +64,7 @@
 
 
 def replay(*, placed):
-    """Return the part of the prompts that waited for another one at their engine."""
+    """Return the fraction of prompts that waited for another one at their engine."""
     random = Random(5)
     records = [record(number) for number in range(ENGINES)]
     engines = {r.listed.endpoint_id: Engine() for r in records}
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_pools.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_pools.py
@@ -1,6 +1,6 @@
-"""Many engines are split into pools, each of which reads the prompts of some parts.
+"""Many engines are split into pools, each of which serves the prompts of some parts.
 
-Replays prompts of a service with 1,200 engines, of which each prompt looks at 150.
+Replays prompts of a service with 1,200 engines, of which each prompt considers 150.
 """
 
 from collections import Counter
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
@@ -1,7 +1,7 @@
-"""What is known of endpoints holds where the store comes back from a copy.
+"""The roster stays correct when the store is restored from a copy.
 
-The copy is some seconds old: it lists what was removed since, and lacks what was listed
-since; revisions are given out again.
+The copy is some seconds old: it lists endpoints that were removed after it was made,
+and lacks those that were listed after it. The restored store reuses revisions.
 """
 
 import pytest
@@ -108,7 +108,7 @@
     copy = [listed(name, 50 + n, epoch=AFTER) for n, name in enumerate("abc")]
     roster.replace(copy, at(94, AFTER), 10.0)
     assert used(roster) == {"b", "c"}
-    # It still is not when the same is listed once more.
+    # The same listing once more does not change this.
     roster.replace(copy, at(94, AFTER), 12.0)
     assert used(roster, 12.0) == {"b", "c"}
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_rests.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_rests.py
@@ -1,4 +1,4 @@
-"""An endpoint that asked for rest gets it, for as long as it said."""
+"""An endpoint that asks for a rest gets no requests for the time that it names."""
 
 from leadford.common import EndpointId
 from leadford.forwarding.endpoints import EndpointRests
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Listings join in the order of their revisions, whatever order they arrive in."""
+"""Listings are merged in the order of their revisions, whatever their arrival order."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -59,7 +59,7 @@
     roster.remove(EndpointId("a"), at(6), 0.0)
     roster.replace([listed("a", 5)], at(5), 0.0)
     assert names(roster) == set()
-    # An id is drawn anew at each start, so this one still leaves.
+    # Each start draws a new id, so the endpoint with this id is still leaving.
     roster.put(listed("a", 7))
     assert names(roster) == set()
 
@@ -79,7 +79,7 @@
     roster.put(listed("a", 1))
     roster.put(listed("b", 9))
     roster.replace([], at(5), 0.0)
-    # What was listed after this listing was made stays.
+    # An endpoint that was listed after this listing was made stays.
     assert names(roster) == {"b"}
     assert roster.changed_position_ == at(9)
 
@@ -94,7 +94,7 @@
         roster.put(listed(name, number + 1))
     roster.put(listed("d", 5, ListedState.DRAINING))
     roster.replace([], at(9), 10.0)
-    # The store was away; the one that had announced its leave is not used.
+    # After a store outage; the endpoint that said it leaves is not used.
     assert usable(roster, 10.5) == {"a", "b", "c"}
     roster.put(listed("a", 10))
     assert usable(roster, 10.5) == {"a", "b", "c"}
@@ -113,7 +113,7 @@
         roster.remove(EndpointId(str(number)), at(100 + number), now)
         assert len(usable(roster, now)) * 2 >= count
     assert len(usable(roster, now)) == count
-    # One that is not back in time is gone, whatever the others do.
+    # An endpoint that is not listed again in time is gone, whatever the others do.
     assert "0" not in usable(roster, 12.0)
     assert usable(roster, now + 2.0) == set()
 
@@ -127,11 +127,11 @@
 
 
 def test_one_that_said_it_leaves_takes_no_new_work_whatever_is_listed_later():
-    """Symptom: an endpoint got requests long after it had said that it leaves.
+    """A leaving endpoint stays draining when a later revision lists it as ready.
 
-    Sequence: it is listed as draining, then, at a later revision, as ready again, by a
-    write that the store took long after it was sent. Cause: the state with the highest
-    revision was believed.
+    A write that the store applies long after it was sent lists the endpoint as ready
+    again. If the state with the highest revision counted, the endpoint would get
+    requests long after it said that it leaves.
     """
     roster = EndpointRoster(trusted_s=1.0)
     roster.put(listed("a", 1))
@@ -144,11 +144,12 @@
 
 
 def test_one_that_said_it_leaves_takes_no_new_work_after_its_entry_was_made_again():
-    """Symptom: an endpoint got requests long after it had said that it leaves.
+    """A leaving endpoint stays draining when it is listed again after its removal.
 
-    Sequence: it is listed as draining, removed, and listed as ready at a later
-    revision, by a write that the store took long after it was sent. Cause: the state
-    with the highest revision is believed.
+    The endpoint is listed as draining, removed, and listed as ready at a later revision
+    by a write that the store applies long after it was sent. If the state with the
+    highest revision counted, the endpoint would get requests long after it said that
+    it leaves.
     """
     roster = EndpointRoster(trusted_s=1.0)
     roster.put(listed("a", 1))
@@ -159,11 +160,11 @@
 
 
 def test_one_that_an_older_listing_says_to_leave_takes_no_new_work():
-    """Symptom: an endpoint got requests after this process had read that it leaves.
+    """An older listing that says that an endpoint is draining is not ignored.
 
-    Sequence: it is listed as ready, removed with its whole service, and only then a
-    peer's older listing tells that it was draining before. Cause: what an older
-    revision says was passed over as a whole.
+    The endpoint is listed as ready and removed with its whole service; only then an
+    older listing from a peer says that it was draining. If older revisions were ignored
+    altogether, the endpoint would get requests after this process read that it leaves.
     """
     roster = EndpointRoster(trusted_s=1.0)
     roster.put(listed("a", 1))
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_starts.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_starts.py
@@ -1,8 +1,8 @@
-"""Starts of endpoints under one name, told late, twice and out of order.
+"""Reports of starts under one name arrive late, twice and out of order.
 
-A model of the store writes starts, drains, crashes and lapses of a few names. Two
-entries hear of each change in any order, some twice, some only by a whole listing, and
-hear from each other. Whatever the order, what they use is what runs.
+A model of the store writes starts, drains, crashes and expiries of a few names. Two
+entries hear of the changes in any order, of some twice, of some only from a complete
+listing, and hear from each other. Whatever the order, they use the endpoints that run.
 """
 
 import msgspec
@@ -52,7 +52,7 @@
         self.ended = set()
         self.news = []
         self.rosters = [EndpointRoster(trusted_s=0.0) for _ in range(2)]
-        # The latest start of each name that an entry has heard of.
+        # The latest start of each name that each entry has heard of.
         self.heard = [dict.fromkeys(NAMES, 0) for _ in range(2)]
 
     def write(self, name, endpoint):
@@ -88,7 +88,7 @@
 
     @rule(which=st.integers(0, 1), back=st.integers(0, 6), data=st.data())
     def hears(self, which, back, data):
-        """Hear of one of the last changes, again or late."""
+        """Report one of the last changes to an entry, possibly again or late."""
         if not self.news:
             return
         name, endpoint, revision = self.news[max(0, len(self.news) - 1 - back)]
@@ -106,7 +106,7 @@
 
     @rule(which=st.integers(0, 1))
     def hears_all(self, which):
-        """Hear a whole listing: from now on what is used is what runs."""
+        """Give an entry a complete listing; it then uses just the ready endpoints."""
         self.now += 1.0
         self.rosters[which].replace(self.listed.values(), at(self.revision), self.now)
         self.hear_of(which, self.listed.values())
@@ -120,7 +120,7 @@
 
     @rule(source=st.integers(0, 1))
     def tells(self, source):
-        """Tell the other entry all that one knows."""
+        """Send the listing of one entry to the other."""
         teller, hearer = self.rosters[source], self.rosters[1 - source]
         if teller.changed_position_ > hearer.changed_position_:
             hearer.replace(teller.listed(), teller.changed_position_, self.now)
@@ -137,7 +137,7 @@
 
     @invariant()
     def uses_no_start_that_it_was_told_is_over(self):
-        """A start whose successor an entry has heard of is never used again."""
+        """A start is not used once its entry has heard of a later start of the name."""
         for which in range(2):
             for record in self.usable(which):
                 assert record.listed.born == self.heard[which][record.listed.name]
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_times.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_times.py
@@ -1,4 +1,4 @@
-"""Times to the first byte are learned for each service apart."""
+"""The time to the first byte is estimated separately for each service."""
 
 import pytest
 
