--- a/packages/leadford/src/leadford/forwarding/membership/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Decide which entries live, to whom links are held, whom to ask, and when to stop."""
+"""Decide which peers are alive, which links to hold, whom to ask, and when to stop."""
 
 from leadford.forwarding.membership._builds import BuildVersions, SharedRule
 from leadford.forwarding.membership._fetch import NewsFetch
--- a/packages/leadford/src/leadford/forwarding/membership/_builds.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_builds.py
@@ -1,17 +1,17 @@
-"""Decide by which rules entries of two builds work together.
-
-While a fleet is upgraded, entries of the last build and of this one run side by side.
-What they tell each other, `leadford.protocol` keeps readable. What all of them agree on
-without a message, such as who chooses the engine of a prompt, holds only where all
-decide alike. So each change of such a rule is named here, with the version of the
-protocol from which a build knows it, and the rule of the oldest build that lives is
-followed by all: the new one begins once the last old entry is gone, and ends when one
-comes back, as in an upgrade that is taken back.
-
-The version of an entry that one is linked to is known from the link. Every entry is
-linked to the first candidates of each group, and says in its heartbeats which is the
-oldest version among its own links. So each version is known over two links, with no
-record in the store that a killed entry would leave behind.
+"""Decide which rules the entries of two builds follow together.
+
+During an upgrade, entries of the previous build and of this one run side by side.
+`leadford.protocol` keeps their messages readable. What entries agree on without
+messages, such as which entry chooses the engine of a prompt, works only if all of them
+decide alike. Therefore each change of such a rule is listed here with the first
+protocol version that knows it, and all entries follow the rules of the oldest build
+that is alive. A new rule takes effect once the last old entry is gone, and ends when an
+old entry returns, as in a rollback.
+
+An entry knows the versions of its linked peers from the links. Every entry is linked to
+the first candidates of each group, and reports in its heartbeats the oldest version
+among its own links. So each version is known over two links, without a record in the
+store that a killed entry would leave behind.
 """
 
 from collections.abc import Mapping
@@ -22,19 +22,19 @@
 
 
 class SharedRule(Enum):
-    """Name a rule that all entries follow together, by the version that brought it.
+    """List the rules that all entries follow together, with the version that adds each.
 
-    COLD_ENGINES_PLACED: one entry chooses the engines of all prompts at services whose
-    endpoints may be cold, too; before it, each entry chose them by itself.
+    COLD_ENGINES_PLACED: one entry chooses the engines of all prompts also at services
+    whose endpoints may be cold; without this rule, each entry chooses them on its own.
     """
 
     COLD_ENGINES_PLACED = PROTOCOL_COLD_PLACED
 
 
 class BuildVersions:
-    """Know the oldest version among the entries that live.
+    """Track the oldest version among the entries that are alive.
 
-    `linked` are the versions of the links to entries that live.
+    `linked` holds the versions of the links to entries that are alive.
     """
 
     def __init__(self, *, own: int) -> None:
@@ -42,23 +42,23 @@
         self.reported_by_id_: dict[EntryId, int] = {}
 
     def record_told(self, entry_id: EntryId, lowest: int) -> None:
-        """Record the oldest version that an entry is linked to."""
+        """Record the oldest version among an entry's links, as it reports it."""
         self.reported_by_id_[entry_id] = lowest
 
     def forget(self, entry_id: EntryId) -> None:
-        """Forget what an entry told: its link ended, or another process is there."""
+        """Forget the report of an entry that lost its link or was replaced."""
         self.reported_by_id_.pop(entry_id, None)
 
     def lowest_linked(self, linked: Mapping[EntryId, int]) -> int:
-        """Return the oldest version of this entry and those linked, for heartbeats."""
+        """Return the oldest version of this entry and its links, for heartbeats."""
         return min([self.own, *linked.values()])
 
     def lowest(self, linked: Mapping[EntryId, int]) -> int:
-        """Return the oldest version of all entries; who told none counts as old."""
+        """Return the oldest version of all entries; those without a report are old."""
         reported = [self.reported_by_id_.get(name, PROTOCOL_UNTOLD) for name in linked]
         return min([self.lowest_linked(linked), *reported])
 
     def shared_rules(self, linked: Mapping[EntryId, int]) -> frozenset[SharedRule]:
-        """Return the rules that every entry that lives knows."""
+        """Return the rules that every entry that is alive knows."""
         lowest = self.lowest(linked)
         return frozenset(rule for rule in SharedRule if lowest >= rule.value)
--- a/packages/leadford/src/leadford/forwarding/membership/_fetch.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_fetch.py
@@ -1,9 +1,9 @@
-"""Decide when a peer is asked for what it knows better: one at a time.
+"""Decide when to ask a peer for newer data, one peer at a time.
 
-Held for the configuration and for the listing of endpoints, which the store tells too.
-A peer that was asked has its time as long as parts arrive; each further peer that has
-to be asked gets twice as long, so that links on which answers take long are not filled
-with answers to the same question. An entry that knows nothing asks at once.
+Used for the configuration and for the listing of endpoints, both of which also come
+from the store. The timeout of a request starts again with each part that arrives. Each
+further peer that has to be asked gets twice the time, so that slow links are not filled
+with answers to the same request. An entry that has no data yet asks at once.
 """
 
 from typing import Generic, TypeVar
@@ -12,22 +12,22 @@
 
 T = TypeVar("T")
 
-# Seconds for which a peer must know better before it is asked.
+# How long peers must have had newer data before one is asked.
 MIN_BEHIND_S = 0.3
-# Seconds without a part after which the next peer is asked, doubled for each further
-# one up to the most.
+# Time without a part after which the next peer is asked, doubled for each further peer
+# up to the maximum.
 STALL_TIMEOUT_S = 1.0
 MAX_STALL_TIMEOUT_S = 8.0
-# Seconds before anybody is asked again after an answer that can't be used, doubled for
-# each up to the most.
+# Delay before the next request after an answer that cannot be used, doubled for each
+# further one up to the maximum.
 UNUSABLE_BACKOFF_S = 0.5
 MAX_UNUSABLE_BACKOFF_S = 8.0
 
 
 class NewsFetch(Generic[T]):
-    """Follow for how long peers have known better, and the question under way.
+    """Track how long peers have had newer data, and the request in progress.
 
-    `nothing` is the version, or the position, of an entry that knows nothing.
+    `nothing` is the version, or the position, of an entry that has no data.
     """
 
     def __init__(self, nothing: T) -> None:
@@ -40,7 +40,7 @@
         self.consecutive_unusable_ = 0
 
     def must_ask(self, known: T, heard: T, now: float) -> bool:
-        """Tell whether to ask a peer that says it knows a version."""
+        """Tell whether to ask a peer that reports the version `heard`."""
         if known != self.known_:
             self.known_ = known
             self.behind_since_ = None
@@ -64,23 +64,23 @@
         self.next_ask_at_ = now + wait_s
 
     def record_part(self, now: float) -> None:
-        """Record that a part arrived that was missing, whoever sent it."""
+        """Record that a missing part arrived, from any peer."""
         self.consecutive_asked_ = 1
         self.next_ask_at_ = now + STALL_TIMEOUT_S
 
     def record_end(self) -> None:
-        """Record that an answer is whole."""
+        """Record that an answer is complete."""
         self._reset_request()
 
     def record_unusable(self, now: float) -> None:
-        """Record that an answer is whole and can't be used."""
+        """Record that an answer is complete but cannot be used."""
         wait_s = UNUSABLE_BACKOFF_S * 2.0**self.consecutive_unusable_
         self.consecutive_unusable_ += 1
         self._reset_request()
         self.next_ask_at_ = now + min(MAX_UNUSABLE_BACKOFF_S, wait_s)
 
     def record_lost(self, entry_id: EntryId) -> None:
-        """Record that the link to a peer ended; its answer does not come."""
+        """Record that the link to a peer ended, so its answer will not arrive."""
         if self.asked_id_ == entry_id:
             self._reset_request()
 
--- a/packages/leadford/src/leadford/forwarding/membership/_heard.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_heard.py
@@ -1,27 +1,27 @@
-"""Know for how long a newer configuration has been in force elsewhere.
+"""Track for how long a newer configuration has been in force at peers.
 
-Peers say in each frame which version they run. An entry that has heard of a newer one
-and has not got it decides by what is no longer true; how long it may do so is decided
-in `leadford.forwarding.routes`.
+Peers state in each frame which version they run. An entry that knows of a newer version
+but does not have it decides by an outdated configuration; `leadford.forwarding.routes`
+decides how long it may do so.
 """
 
 
 class HeardVersions:
-    """Keep when versions newer than the own one were first heard of."""
+    """Keep when each version newer than this entry's own was first reported."""
 
     def __init__(self) -> None:
         self.heard_at_by_version_: dict[int, float] = {}
 
     def record(self, version: int, known: int, now: float) -> None:
-        """Record a version that a peer runs."""
+        """Record a version that a peer runs, if it is newer than `known`."""
         if version <= known:
             return
         self.heard_at_by_version_.setdefault(version, now)
 
     def behind_s(self, known: int, now: float) -> float | None:
-        """Return for how long a newer version than the own one has been known of.
+        """Return for how long a version newer than `known` has been reported.
 
-        Units: seconds; None when no newer one is known of.
+        Units: seconds; None if no newer version has been reported.
         """
         heard = self.heard_at_by_version_
         for version in [version for version in heard if version <= known]:
--- a/packages/leadford/src/leadford/forwarding/membership/_liveness.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_liveness.py
@@ -1,28 +1,28 @@
-"""Decide whether another entry lives, by when it was last heard.
+"""Decide whether another entry is alive, by the time of its last message.
 
-Asked by the links to other entries. Heartbeats say who lives; the store only says who
-exists, so its outage changes nothing. Groups of a dead entry are scheduled by the next
-one in their order.
+Called by the links to other entries. Heartbeats show which entries are alive; the store
+only shows which exist, so a store outage changes nothing. The groups of a dead entry
+are scheduled by the next entry in their order.
 
-The load pattern: a busy machine, or a suspended one, lets an entry not run for a second
-or more. What its peers said meanwhile waits to be read, and all of them look silent at
-once; the entry then scheduled every group and placed every prompt by itself until it
-had read on. So silence is counted in the time in which this entry itself looked.
+On a busy or suspended machine, an entry may not run for a second or more. The messages
+of its peers then wait unread, and all peers seem silent at once; the entry would
+schedule every group and place every prompt itself until it has read them. Therefore
+silence is measured only in the time in which this entry itself was running.
 """
 
 from leadford.common import EntryId
 
-# Seconds after its last message for which an entry counts as alive.
+# How long an entry counts as alive after its last message.
 LIVE_TIMEOUT_S = 0.9
-# Times of that, after which a silent peer is disconnected.
+# Multiple of LIVE_TIMEOUT_S after which a silent peer is disconnected.
 SILENT_TIMEOUT_FACTOR = 3
-# Seconds between two looks that count as time in which this entry ran: a heartbeat, its
-# spread and a third more. For the rest it was held up.
+# Longest time between two calls of `look` that counts as running time: a heartbeat
+# interval, its spread and a third more. Beyond it this entry was suspended.
 MAX_LOOK_INTERVAL_S = 0.3
 
 
 class HeardPeers:
-    """Remember when each peer was heard, in the time that this entry ran."""
+    """Record when each peer was last heard, in the running time of this entry."""
 
     def __init__(self) -> None:
         self.heard_at_by_id_: dict[EntryId, float] = {}
@@ -30,7 +30,7 @@
         self.suspended_s_ = 0.0
 
     def look(self, now: float) -> None:
-        """Record that this entry runs; called with each of its heartbeats."""
+        """Record that this entry is running; called with each of its heartbeats."""
         self.suspended_s_ += self._suspended_since_look_s(now)
         self.looked_at_ = now
 
@@ -39,7 +39,7 @@
         self.heard_at_by_id_[entry_id] = self._running_time_s(now)
 
     def is_live(self, entry_id: EntryId, now: float) -> bool:
-        """Tell whether a peer was heard a short while ago."""
+        """Tell whether a peer counts as alive."""
         heard_at = self.heard_at_by_id_.get(entry_id)
         return (
             heard_at is not None
@@ -47,7 +47,7 @@
         )
 
     def is_silent(self, entry_id: EntryId, now: float) -> bool:
-        """Tell whether a connected peer has stopped to send heartbeats."""
+        """Tell whether a connected peer has stopped sending heartbeats."""
         heard_at = self.heard_at_by_id_.get(entry_id)
         if heard_at is None:
             return False
@@ -57,11 +57,11 @@
         )
 
     def _running_time_s(self, now: float) -> float:
-        """Return the seconds in which this entry ran, from an arbitrary start."""
+        """Return the running time of this entry in seconds, from an arbitrary start."""
         return now - self.suspended_s_ - self._suspended_since_look_s(now)
 
     def _suspended_since_look_s(self, now: float) -> float:
-        """Return for how long this entry has been held up since it looked last."""
+        """Return for how long this entry was suspended since the last `look`."""
         if self.looked_at_ is None:
             return 0.0
         return max(0.0, now - self.looked_at_ - MAX_LOOK_INTERVAL_S)
--- a/packages/leadford/src/leadford/forwarding/membership/_peers.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_peers.py
@@ -1,8 +1,9 @@
-"""Decide to which other entries an entry holds links, and whether one places for all.
+"""Decide to which peers an entry holds links, and whether one entry places prompts.
 
-These are the first candidates to schedule each group, because pieces go to them, and
-the next entries in the order of ids, so that news reaches every entry. The number of
-links does not grow with the fleet. Which links stand is left to the caller.
+An entry holds links to the first candidates to schedule each group, because pieces are
+sent to them, and to the next entries in the order of ids, so that news reaches every
+entry. The number of links does not grow with the fleet. The caller tracks which links
+are established.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,12 +18,12 @@
 from leadford.forwarding.endpoints import pool_count, prompt_pool
 from leadford.forwarding.routes import ServiceId
 
-# Next entries in the order of ids that a link is held to.
+# Number of next entries in the order of ids to hold links to.
 SUCCESSORS_COUNT = 2
-# First candidates for each group that a link is held to.
+# Number of first candidates of each group to hold links to.
 CANDIDATES_COUNT = 2
-# Entries from which on one of them places the prompts of all. Fewer hear by themselves
-# what engines say of their load.
+# Minimum number of entries at which one of them places the prompts of all. In a smaller
+# fleet, each entry learns the load of engines from its own answers.
 PLACING_MIN_ENTRIES = 8
 
 
@@ -32,7 +33,7 @@
     groups: Iterable[GroupId],
     regions: RegionMap,
 ) -> set[EntryId]:
-    """Return the entries to hold links to; `halls_by_entry` holds this one too."""
+    """Return the peers to hold links to; `halls_by_entry` includes this entry."""
     wanted: set[EntryId] = set()
     for group in groups:
         order = schedulers_in_order(group, halls_by_entry, regions)
@@ -56,9 +57,9 @@
 ) -> GroupId | None:
     """Return the group of engines whose prompts one entry places.
 
-    `pool_key` is the part by which a prompt is given to a pool of many engines. None in
-    a small fleet, and where engines or entries lie in several regions: asking would
-    take longer than it saves.
+    `pool_key` is the part that assigns a prompt to a pool of a large service. The
+    result is None in a small fleet, and where engines or entries are in several
+    regions: requesting a placement would take longer than it saves.
     """
     region = _one_region(engines_by_hall, halls_by_entry, regions)
     if region is None:
@@ -87,7 +88,7 @@
 
 
 def _pool_group(service_id: ServiceId, region: PlaceId, pool: int) -> GroupId:
-    """Return the group of a pool; any entry may place for it."""
+    """Return the group of a pool; any entry may place its prompts."""
     return GroupId(service_id, PlaceId(f"{region}/{pool}"))
 
 
@@ -96,7 +97,7 @@
     halls_by_entry: Mapping[EntryId, HallId],
     regions: RegionMap,
 ) -> PlaceId | None:
-    """Return the region of a large fleet, if all of it lies in one."""
+    """Return the region of a large fleet that lies in a single one."""
     if len(halls_by_entry) < PLACING_MIN_ENTRIES:
         return None
     places = {
--- a/packages/leadford/src/leadford/forwarding/membership/_relays.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_relays.py
@@ -1,12 +1,12 @@
-"""Decide which entries follow the store for all, and when another one asks it itself.
-
-The load pattern: each change of an endpoint ends the watches of all entries at once, so
-what a change costs grows with the fleet. Where many entries live, a few follow the
-store; the others hear from them what changed, and how long ago the store confirmed that
-nothing is missing. An entry whose newest confirmation is too old asks the store by
-itself, whatever the reason: the relays are lost, cut off, slow, stopped or deaf, or the
-store is. So what an entry knows is never older than `rest_s` and one call, with no
-message and no lease to agree on who follows.
+"""Decide which entries follow the store for all, and when others query it themselves.
+
+Each change of an endpoint ends the watches of all entries at once, so the cost of a
+change grows with the fleet. In a large fleet only a few entries follow the store; the
+others learn from them what changed, and how long ago the store confirmed that nothing
+is missing. An entry whose newest confirmation is too old queries the store itself,
+whatever the reason: the followers or the store may be lost, cut off, slow, stopped or
+unresponsive. So the data of an entry is never older than `rest_s` plus one call, and no
+message or lease is needed to agree on the followers.
 """
 
 from collections.abc import Iterable, Sequence
@@ -20,16 +20,17 @@
     longest_watch_s,
 )
 
-# Entries that follow the store for the others: the loss of any two leaves one, and with
-# watches that end at different moments the newest confirmation is younger than one
-# watch.
+# Number of entries that follow the store for the others: after the loss of any two, one
+# is left, and because their watches end at different times, the newest confirmation is
+# younger than one watch.
 FOLLOWERS_COUNT = 3
-# Entries from which on the others rest. With fewer, each follows by itself: three of
-# six would save half of the calls, and news would come in two steps.
+# Minimum number of entries at which only the followers watch the store. In a smaller
+# fleet each entry follows the store itself: three followers of six entries would save
+# only half of the calls, and news would need two steps.
 RELAY_MIN_ENTRIES = 8
-# Part of the rest of the others that the watch of a follower waits: where the watches
-# of all are lost at once, such as by a history that was forgotten, the next ones are
-# answered before everybody asks.
+# Maximum wait of a follower's watch as a fraction of `rest_s`: if all watches are lost
+# at once, for example because the store discarded its history, the next ones are
+# answered before all entries query the store.
 FOLLOWER_WATCH_FRACTION = 0.5
 
 
@@ -40,8 +41,8 @@
 ) -> set[EntryId]:
     """Return the entries that follow the store.
 
-    They are first candidates to schedule groups, because every entry holds links to
-    these; the second ones come after the first. Without a group everybody follows.
+    These are the first candidates to schedule groups, because every entry holds links
+    to them, and then the second candidates. Without groups, every entry follows.
     """
     if len(halls_by_entry) < RELAY_MIN_ENTRIES:
         return set(halls_by_entry)
@@ -54,7 +55,7 @@
 
 
 def _first_of_each(orders: Sequence[Sequence[EntryId]]) -> list[EntryId]:
-    """Return the first of each order, then the second ones, until there are enough."""
+    """Return the first entry of each order, then the second, up to the maximum."""
     followers: list[EntryId] = []
     for rank in (0, 1):
         for order in orders:
@@ -66,10 +67,10 @@
 
 
 def rest_s(bound_s: float) -> float:
-    """Return how old the newest confirmation may be while an entry asks nothing.
+    """Return the maximum age of the newest confirmation without a query to the store.
 
-    `bound_s` is the time within which a change has to be known here. What is left of it
-    is for the call that then follows.
+    `bound_s` is the time within which this entry must know of a change. The remainder
+    is reserved for the query that follows.
 
     Units: seconds.
     """
@@ -77,10 +78,10 @@
 
 
 def follower_watch_s(bound_s: float, resync_s: float, drawn: float) -> float:
-    """Return how long the watch of a follower waits, so that the others may rest.
+    """Return how long the watch of a follower waits.
 
-    `drawn` is a number from 0 to 1 that was drawn at random: followers that started
-    together do not end their watches together.
+    `drawn` is a random number from 0 to 1, so that followers that started together do
+    not end their watches together.
 
     Units: seconds.
     """
--- a/packages/leadford/src/leadford/forwarding/membership/_stop.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_stop.py
@@ -1,25 +1,25 @@
 """Decide when a planned stop ends.
 
-Asked by the process while it stops. It goes on serving at least for a while, since
-callers still come until the platform has seen that it is not ready; then it ends with
-its last request, and in any case before the grace period does. Which requests still
-begin is decided in `leadford.forwarding.routes`.
+Called by the process while it stops. The process keeps serving for a minimum time,
+because callers keep connecting until the platform has seen that it is not ready. After
+that it ends with its last request, and in any case before the end of the grace period.
+`leadford.forwarding.routes` decides which requests may still begin.
 """
 
-# Seconds that a planned stop takes at least.
+# Minimum duration of a planned stop.
 STOP_MIN_S = 3.2
-# Seconds before the end of the grace period at which a stop ends.
+# Time before the end of the grace period at which a stop ends at the latest.
 STOP_MARGIN_S = 0.6
 
 
 def stop_ends_at(began_at: float, grace_s: float) -> float:
-    """Return when a stop ends, whatever is left.
+    """Return when a stop ends at the latest, whatever is still in progress.
 
-    Units: seconds; began_at and the result are moments of the monotonic clock.
+    Units: seconds; began_at and the result are times of the monotonic clock.
     """
     return began_at + grace_s - STOP_MARGIN_S
 
 
 def may_stop(elapsed_s: float, live: int) -> bool:
-    """Tell whether a stop may end before, with so many requests under way."""
+    """Tell whether a stop may end early, with `live` requests in progress."""
     return elapsed_s >= STOP_MIN_S and live == 0
--- a/packages/leadford/src/leadford/forwarding/membership/_watch.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_watch.py
@@ -1,37 +1,40 @@
-"""Decide how long a call to the store waits, by how soon an entry must hear of news.
+"""Decide how long a watch waits, by how soon an entry must learn of a change.
 
-Asked before each call that follows a kind of object. Every watch is paid for, and a
-change ends it at once however long it waits; its end without one only helps where a
-store that was silent or compacts its history never answers it. Entries tell each other
-what they hear, so the more of them live, the longer each may wait; but one event may
-leave the watches of all of them unanswered, so none waits longer than it may alone.
+Called before each call that follows a kind of object. Every watch has a cost, and a
+change ends it at once however long it waits. Ending a watch without a change only helps
+where a store that was silent or compacts its history never answers it. Entries forward
+news to each other, so the more of them are alive, the longer each may wait. But one
+event may leave the watches of all entries unanswered, so none waits longer than an
+entry may on its own.
 """
 
-# Entries that together hear of a change as soon as one with the least wait.
+# Number of entries that together learn of a change as soon as a single entry with the
+# minimum wait.
 SHARING_ENTRIES_COUNT = 3
-# Most that a watch waits in place of its least.
+# Maximum factor by which the wait of a watch is extended.
 MAX_WAIT_FACTOR = 2.6
-# Parts of the wait between which each is drawn, so that entries that started together
-# do not end their watches together.
+# Range of the random factor of each wait, so that entries that started together do not
+# end their watches together.
 WATCH_SPREAD = (0.75, 1.0)
-# Seconds beyond its wait after which a watch is given up.
+# Time beyond its wait after which a watch is abandoned.
 WATCH_MARGIN_S = 0.35
-# Seconds kept of the time to catch up for the answer that ends it, which may be a large
-# configuration over a slow link.
+# Part of the time to catch up that is reserved for the final answer, which may be a
+# large configuration over a slow link.
 ANSWER_RESERVE_S = 0.6
-# Least seconds that a watch waits where there is hardly any time to catch up, so that
-# watches do not follow each other without a pause.
+# Minimum wait of a watch where there is hardly any time to catch up, so that watches do
+# not follow each other without a pause.
 MIN_WAIT_S = 0.2
-# Most seconds until the first byte of a call that waits for no change. A store whose
-# answers take 1.5 s is followed with it.
+# Maximum time to the first byte of a call that does not wait for a change. It allows
+# following a store whose answers take 1.5 s.
 MAX_CALL_S = 2.0
 
 
 def longest_watch_s(resync_s: float) -> float:
-    """Return how long a watch may wait that is perhaps never answered.
+    """Return the maximum wait of a watch, which may never be answered.
 
-    `resync_s` is the time to catch up after trouble with the store: entries that all
-    wait for answers which never come would hear nothing for longer.
+    `resync_s` is the time to catch up after a fault of the store: if all entries wait
+    for answers that never arrive, a longer wait would leave them without news for more
+    than that time.
 
     Units: seconds.
     """
@@ -39,7 +42,7 @@
 
 
 def longest_call_s(resync_s: float) -> float:
-    """Return how long a call that waits for no change may take to its first byte.
+    """Return the maximum time to the first byte of a call that does not wait.
 
     Units: seconds.
     """
@@ -47,10 +50,10 @@
 
 
 def watch_s(alone_s: float, live_peers: int, drawn: float, *, resync_s: float) -> float:
-    """Return how long a watch waits, where this entry alone would wait `least_s`.
+    """Return how long a watch waits, where this entry alone would wait `alone_s`.
 
-    `drawn` is a number from 0 to 1 that was drawn at random, `resync_s` the time to
-    catch up after trouble with the store.
+    `drawn` is a random number from 0 to 1, `resync_s` the time to catch up after a
+    fault of the store.
 
     Units: seconds.
     """
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_builds.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_builds.py
@@ -1,4 +1,4 @@
-"""Entries of two builds follow the rule of the older one, and no longer than needed."""
+"""Entries of two builds follow the older build's rules only while it is alive."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class Fleet:
-    """Hold entries that are linked to two hubs each, and to nobody else."""
+    """Simulate entries that are each linked only to the same two hubs."""
 
     def __init__(self, versions_by_id):
         self.versions_by_id = versions_by_id
@@ -32,7 +32,7 @@
         return {peer: min(own, self.versions_by_id[peer]) for peer in self.peers(name)}
 
     def beat(self):
-        """Let each entry of a build that does so say what it is linked to."""
+        """Let each entry of the new build report the oldest version among its links."""
         for name, version in self.versions_by_id.items():
             if version < NEW:
                 continue
@@ -41,7 +41,7 @@
                 self.builds_by_id[peer].record_told(name, lowest)
 
     def replace(self, name, version):
-        """Put another build in the place of an entry."""
+        """Replace an entry by one of another build."""
         versions = {**self.versions_by_id, name: version}
         beside = self.builds_by_id
         self.__init__(versions)
@@ -81,7 +81,7 @@
     fleet.replace(names(9)[last], NEW)
     fleet.beat()
     assert fleet.verdicts() == {True}
-    # An upgrade that is taken back.
+    # A rollback.
     fleet.replace(names(9)[last], OLD)
     fleet.beat()
     assert fleet.verdicts() == {False}
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Entries know by themselves who lives, whom to link to, and whom to ask."""
+"""Entries decide on their own who is alive, whom to link to, and whom to ask."""
 
 import pytest
 
@@ -38,7 +38,7 @@
 
 
 def heard(at):
-    """Return what is known where a peer was heard once."""
+    """Return the state after one message from a peer."""
     peers = HeardPeers()
     peers.record_heard(PEER, at)
     return peers
@@ -69,11 +69,11 @@
     peers = heard(10.0)
     peers.look(10.0)
     awake_at = 10.0 + held_up_s
-    # Before it has looked again, and after that, until it has read what waits.
+    # Both before its next `look` and after it, until it has read the waiting messages.
     assert peers.is_live(PEER, awake_at)
     peers.look(awake_at)
     assert peers.is_live(PEER, awake_at)
-    # A peer that is gone counts as dead within the usual time.
+    # A peer that is gone counts as dead after the usual time.
     for step in range(1, 5):
         peers.look(awake_at + 0.2 * step)
     assert not peers.is_live(PEER, awake_at + 0.8)
@@ -184,7 +184,7 @@
     heard.record(6, 3, 10.5)
     heard.record(4, 3, 10.9)
     assert heard.behind_s(3, 11.0) == 1.0
-    # It is not behind for longer because it follows a series of changes.
+    # Following a series of changes does not make it count as behind for longer.
     assert heard.behind_s(4, 11.0) == 0.5
     assert heard.behind_s(6, 11.0) is None
 
@@ -204,7 +204,7 @@
     assert alone == [1.8, 1.8]
     shared = [watch_s(1.8, peers, 1.0, resync_s=6.0) for peers in (3, 5, 20, 350)]
     assert 1.8 < shared[0] < shared[1] < shared[2] == shared[3]
-    # With the margin of a watch a configuration is confirmed within 6 s.
+    # Including the margin of a watch, a configuration is confirmed within 6 s.
     assert shared[3] + 0.35 < 6.0
 
 
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_pace.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""Links on which nothing is to be told get fewer heartbeats, and stay alive."""
+"""Links without news get fewer heartbeats, and their entries still count as alive."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from leadford.forwarding.membership import HeardPeers, HeartbeatNews, is_due
 
 BEAT_S = 0.2
-# The longest pause that the spread of heartbeats draws, and a late loop.
+# Longest delay of a heartbeat by its random spread and a late event loop.
 LATE_S = 0.1
 
 
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_relays.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""A few entries follow the store, and the others rest within the bound."""
+"""A few entries follow the store; the others rely on them within a time limit."""
 
 import pytest
 
