--- a/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
@@ -63,7 +63,7 @@
 # Fraction of an engine's memory that is assumed to cache parts of prompts.
 CACHE_MEMORY_FRACTION = 0.6
 # Cost of every engine other than the first of the affinity set.
-PREFERRED_BONUS_MS = 10.0
+NOT_PREFERRED_MS = 10.0
 
 
 class SentPrompt(msgspec.Struct, frozen=True, eq=False):
@@ -199,7 +199,7 @@
         expected += running * RUNNING_REQUEST_MS
         expected += record.failure_rate_.value_ * FAILURE_RATE_MS
         if affinity and endpoint_id != affinity[0]:
-            expected += PREFERRED_BONUS_MS
+            expected += NOT_PREFERRED_MS
         if (
             knows_all
             and self.pending_by_id_.get(endpoint_id, 0.0) >= LONG_PREFILL_TOKENS
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
@@ -22,8 +22,8 @@
 MEMORY_TOKENS = 266_000
 TOKENS_PER_MS = 32.4
 # Prompts per second, and the duration of the replay.
-RATE = 28.0
-LENGTH_S = 20.0
+PROMPTS_PER_S = 28.0
+REPLAY_S = 20.0
 # Tokens of the parts: one of a few shared ones, one shared by the requests on the same
 # subject, and the request's own.
 FIRST_TOKENS, SUBJECT_TOKENS, OWN_TOKENS = 2_500, 3_800, 2_900
@@ -74,8 +74,8 @@
     reading = []
     waited = count = 0
     now = 0.0
-    while now < LENGTH_S:
-        now += random.expovariate(RATE)
+    while now < REPLAY_S:
+        now += random.expovariate(PROMPTS_PER_S)
         for read_at, done in [item for item in reading if item[0] <= now]:
             done()
             reading.remove((read_at, done))
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_pace.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_pace.py
@@ -5,9 +5,9 @@
 from leadford.common import EntryId
 from leadford.forwarding.membership import HeardPeers, HeartbeatNews, is_due
 
-BEAT_S = 0.2
+HEARTBEAT_S = 0.2
 # Longest delay of a heartbeat by its random spread and a late event loop.
-LATE_S = 0.1
+MAX_DELAY_S = 0.1
 
 
 def beats(*, tells_all=False, is_scheduler=False, knows_pace=True):
@@ -39,7 +39,7 @@
     for due in beats():
         if due:
             heard.record_heard(peer, now)
-        now += BEAT_S + LATE_S
+        now += HEARTBEAT_S + MAX_DELAY_S
         heard.look(now)
         assert heard.is_live(peer, now)
 
