--- a/packages/leadford/src/leadford/forwarding/endpoints/_address.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_address.py
@@ -1,14 +1,14 @@
-"""Tell whether an address can be connected to, whoever wrote it."""
+"""Check whether an address can be connected to, whatever its source."""
 
 import ipaddress
 
-PORT_MOST = 65_535
+MAX_PORT = 65_535
 
 
 def is_dialable(address: str) -> bool:
-    """Tell whether an address is one of a host and a port, by numbers."""
+    """Tell whether an address is a numeric IPv4 address with a port."""
     host, _, port = address.rpartition(":")
-    if not (port.isascii() and port.isdigit() and 0 < int(port) <= PORT_MOST):
+    if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
         return False
     try:
         ip = ipaddress.IPv4Address(host)
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
@@ -1,7 +1,7 @@
-"""Prompts of many entries meet less often where one entry places them.
+"""Prompts of many entries wait for each other less often if one entry places them.
 
-Replays long prompts that come to 60 entries in turn, before 39 engines; each engine
-reads one prompt after the other.
+Replays long prompts that arrive at 60 entries in front of 39 engines; each engine
+prefills one prompt at a time.
 """
 
 from random import Random
@@ -14,17 +14,18 @@
     PromptPart,
     PromptShape,
 )
-from leadford.forwarding.endpoints._placement import FORGOTTEN_S
+from leadford.forwarding.endpoints._placement import PLACED_TIMEOUT_S
 from leadford_standins.records import endpoint_record
 
 ENGINES = 39
 ENTRIES = 60
 MEMORY_TOKENS = 266_000
 TOKENS_PER_MS = 32.4
-# Prompts a second, and how long they come.
-RATE = 28.0
-LENGTH_S = 20.0
-# Tokens of the shared parts: one of few, and one of the request's subject.
+# Prompts per second, and the duration of the replay.
+PROMPTS_PER_S = 28.0
+REPLAY_S = 20.0
+# Tokens of the parts: one of a few shared ones, one shared by the requests on the same
+# subject, and the request's own.
 FIRST_TOKENS, SUBJECT_TOKENS, OWN_TOKENS = 2_500, 3_800, 2_900
 
 
@@ -44,14 +45,14 @@
 
 
 class Engine:
-    """Read one prompt after the other; know what was read."""
+    """Prefill one prompt at a time, and cache the parts of each."""
 
     def __init__(self):
         self.free_at = 0.0
         self.read = set()
 
     def take(self, shape, now):
-        """Return when the prompt is read, and whether it had to wait."""
+        """Return when the prefill ends, and whether it had to wait."""
         tokens = OWN_TOKENS
         for part in shape.shared:
             if part.part_id not in self.read:
@@ -63,7 +64,7 @@
 
 
 def replay(*, placed):
-    """Return the part of the prompts that waited for another one at their engine."""
+    """Return the fraction of prompts that waited for another one at their engine."""
     random = Random(5)
     records = [record(number) for number in range(ENGINES)]
     engines = {r.listed.endpoint_id: Engine() for r in records}
@@ -73,8 +74,8 @@
     reading = []
     waited = count = 0
     now = 0.0
-    while now < LENGTH_S:
-        now += random.expovariate(RATE)
+    while now < REPLAY_S:
+        now += random.expovariate(PROMPTS_PER_S)
         for read_at, done in [item for item in reading if item[0] <= now]:
             done()
             reading.remove((read_at, done))
@@ -122,7 +123,7 @@
     sent = engines.record_sent(record(0), shape, MEMORY_TOKENS)
     ledger.record_placed(PlacedId(EntryId("n"), 1), sent, 0.0)
     other = engines.record_sent(record(1), shape, MEMORY_TOKENS)
-    ledger.record_placed(PlacedId(EntryId("m"), 1), other, FORGOTTEN_S + 0.1)
+    ledger.record_placed(PlacedId(EntryId("m"), 1), other, PLACED_TIMEOUT_S + 0.1)
     assert set(engines.pending_by_id_) == {EndpointId("e1")}
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
@@ -1,7 +1,7 @@
-"""What is known of endpoints holds where the store comes back from a copy.
+"""The roster stays correct when the store is restored from a copy.
 
-The copy is some seconds old: it lists what was removed since, and lacks what was listed
-since; revisions are given out again.
+The copy is some seconds old: it lists endpoints that were removed after it was made,
+and lacks those that were listed after it. The restored store reuses revisions.
 """
 
 import pytest
@@ -19,7 +19,7 @@
 SERVICE = ServiceId("s")
 BEFORE, AFTER = StoreEpoch(1), StoreEpoch(2)
 DRAINING = ListedState.DRAINING
-LAPSE_S = 4.8
+EXPIRY_S = 4.8
 
 
 def listed(name, revision, state=ListedState.READY, *, epoch=BEFORE, **fields):
@@ -47,7 +47,7 @@
 @pytest.fixture
 def roster():
     """Return a roster of three endpoints, known up to revision 96."""
-    known = EndpointRoster(trusted_s=2.0, lapse_s=LAPSE_S)
+    known = EndpointRoster(trusted_s=2.0, expiry_s=EXPIRY_S)
     known.replace([listed(name, 50 + n) for n, name in enumerate("abc")], at(96), 0.0)
     return known
 
@@ -108,7 +108,7 @@
     copy = [listed(name, 50 + n, epoch=AFTER) for n, name in enumerate("abc")]
     roster.replace(copy, at(94, AFTER), 10.0)
     assert used(roster) == {"b", "c"}
-    # It still is not when the same is listed once more.
+    # The same listing once more does not change this.
     roster.replace(copy, at(94, AFTER), 12.0)
     assert used(roster, 12.0) == {"b", "c"}
 
@@ -117,7 +117,7 @@
     roster.remove("a", at(95), 5.0)
     copy = [listed(name, 50 + n, epoch=AFTER) for n, name in enumerate("abc")]
     roster.replace(copy, at(94, AFTER), 10.0)
-    assert used(roster, 10.0 + LAPSE_S) == {"a", "b", "c"}
+    assert used(roster, 10.0 + EXPIRY_S) == {"a", "b", "c"}
 
 
 def test_one_that_writes_its_record_again_after_the_copy_is_used_at_once(roster):
