--- a/packages/leadford-server/src/leadford_server/forwarding/batching/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/__init__.py
@@ -1,7 +1,7 @@
-"""Run the stages before requests: pieces, the queues of groups, calls, results.
+"""Run the stages that precede requests: pieces, group queues, calls and results.
 
-What a call carries and what follows a lost piece is decided in
-`leadford.forwarding.batching`.
+`leadford.forwarding.batching` decides what a call carries and what follows a lost
+piece.
 """
 
 from leadford_server.forwarding.batching._inputs import RequestInputs
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_calls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_calls.py
@@ -1,7 +1,7 @@
 """Make one call for pieces at an endpoint of a batched stage.
 
-Records what the call shows of the endpoint, and says what became of its pieces. What
-follows for each piece is left to the scheduler of the group.
+Records what the call shows about the endpoint, and returns the outcome of its pieces.
+The scheduler of the group decides what follows for each piece.
 """
 
 import asyncio
@@ -24,16 +24,16 @@
 from leadford_server.forwarding.endpoints import ConnectionEnd, ExchangeBroken
 
 STATUS_OK = 200
-# Logged and counted for a call that brought an answer for each of its pieces.
+# Logged and counted for a call that returned an outcome for each of its pieces.
 CALL_DONE = "done"
-CALL_SPOILED = "spoiled"
+CALL_INVALID_ANSWER = "spoiled"
 
 
 class PieceCall(msgspec.Struct, eq=False):
     """Hold one call that is under way.
 
     Units: began_at in seconds of the monotonic clock; room_bytes is the room that was
-    believed to be free at the endpoint.
+    assumed to be free at the endpoint.
     """
 
     group: GroupId
@@ -47,7 +47,7 @@
 
     @property
     def limits(self) -> PieceLimits:
-        """Return what bounds a call of the service."""
+        """Return the limits of a call of the service."""
         return self.service.pieces
 
     @property
@@ -55,17 +55,17 @@
         """Return the room that all results of the call take."""
         return sum(task.result_bytes for task in self.tasks)
 
-    def times_expected(self, now: float) -> float:
-        """Return how many times its expected time the call has lasted."""
+    def duration_ratio(self, now: float) -> float:
+        """Return the ratio of the time the call has lasted to its expected time."""
         expected_s = self.limits.duration_ms(len(self.tasks)) / 1_000.0
         return (now - self.began_at) / expected_s
 
 
 class CallEnd(msgspec.Struct, frozen=True):
-    """Say how a call ended.
+    """Describe how a call ended.
 
-    `outcomes` are those of the pieces in order, None where the whole call failed; then
-    `detail` says why, and begins with the text of a PieceFailure where one applies.
+    `outcomes` holds those of the pieces in order, or None if the whole call failed;
+    then `detail` says why, and begins with the text of a PieceFailure if one applies.
     """
 
     outcomes: list[PieceOutcome] | None
@@ -96,10 +96,10 @@
         except TimeoutError:
             now = self.state.now()
             record.record_failure(now, EndpointFailure.SILENT)
-            record.record_slowness(call.times_expected(now), now)
+            record.record_slowness(call.duration_ratio(now), now)
             return CallEnd(None, PieceFailure.SILENT.value)
         except Exception as error:
-            # Its pieces are made elsewhere; without an end nobody would answer them.
+            # Without a CallEnd the pieces would get no answer. They are made elsewhere.
             return CallEnd(None, f"fault: {type(error).__name__}: {error}")
 
     async def _exchange(self, call: PieceCall) -> CallEnd:
@@ -107,7 +107,7 @@
         record = call.record
         connection = await state.pool_.acquire(record, call.service.connections_max)
         if not state.is_usable(record):
-            # It left while the connection was waited for.
+            # The endpoint became unusable while this call waited for a connection.
             state.pool_.release(record, connection)
             return CallEnd(None, PieceFailure.NO_ENDPOINT.value)
         if state.hold_s(record) > 0.0:
@@ -138,9 +138,9 @@
         read = state.codec.read_pieces(body)
         if isinstance(read, Failure) or len(read.unwrap()) != len(call.tasks):
             record.record_failure(now, EndpointFailure.SPOILED)
-            return CallEnd(None, CALL_SPOILED)
+            return CallEnd(None, CALL_INVALID_ANSWER)
         record.record_success((now - call.began_at) * 1_000.0)
-        record.record_slowness(call.times_expected(now), now)
+        record.record_slowness(call.duration_ratio(now), now)
         return CallEnd(read.unwrap(), CALL_DONE)
 
     def log(self, call: PieceCall, end: CallEnd, *, waiting: int) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_free.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_free.py
@@ -1,8 +1,8 @@
-"""Free results at endpoints once nobody reads them any more.
+"""Free results at endpoints once they have no readers left.
 
-Results are collected for a moment, so that one request to an endpoint frees many. Room
-counts as free only after the endpoint has answered; a request that is lost is not made
-again, because a result ends by itself after its retention.
+Results are collected briefly, so that one request to an endpoint frees many. Room
+counts as free only after the endpoint has answered. A request that is lost is not
+repeated, because a result expires after its retention.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding.endpoints import ExchangeBroken
 
-# Seconds that results are collected before they are freed.
+# How long results are collected before one request frees them.
 FREE_DELAY_S = 0.004
-# Seconds that the answer is waited for.
+# How long to wait for a connection and the answer.
 FREE_TIMEOUT_S = 1.0
 
 
-class ResultFreeing:
-    """Free results, and tell when room came free.
+class ResultReleaser:
+    """Free results, and report when room becomes free.
 
-    `on_free` is called with the group whose room grew.
+    `on_free` is called with the group that has more free room.
     """
 
     def __init__(
@@ -40,31 +40,32 @@
         self.capacities = capacities
         self.spawn = spawn
         self.on_free = on_free
-        self.unread_by_id_: dict[EndpointId, list[ResultHandle]] = {}
+        self.pending_by_endpoint_id_: dict[EndpointId, list[ResultHandle]] = {}
 
     def release(self, endpoint_id: EndpointId, handles: list[ResultHandle]) -> None:
-        """Free results of an endpoint shortly."""
-        due = self.unread_by_id_.setdefault(endpoint_id, [])
+        """Free results of an endpoint after a short delay."""
+        due = self.pending_by_endpoint_id_.setdefault(endpoint_id, [])
         if not due:
             self.state.loop.call_later(FREE_DELAY_S, self._send, endpoint_id)
         due += handles
 
     def _send(self, endpoint_id: EndpointId) -> None:
-        handles = self.unread_by_id_.pop(endpoint_id, [])
+        handles = self.pending_by_endpoint_id_.pop(endpoint_id, [])
         record = self.state.roster_.record(endpoint_id)
         if not handles or record is None:
             return
-        if self._gets_no_releases(record):
+        if self._skips_release(record):
             return
         service = self.state.service(record.listed.service_id)
         if service is not None:
             self.spawn(self._free(service, record, handles))
 
-    def _gets_no_releases(self, record: EndpointRecord) -> bool:
-        """Tell whether results at an endpoint are left to end by themselves.
+    def _skips_release(self, record: EndpointRecord) -> bool:
+        """Tell whether results at an endpoint are left to expire.
 
-        An evacuated hall and an endpoint at rest get nothing at all, and what a limited
-        one takes is left to calls that make something.
+        Nothing is sent to an evacuated hall or to an endpoint that asked for a pause,
+        and the requests that a rate-limited endpoint takes are kept for calls that make
+        results.
         """
         if self.state.roster_.halls_.is_evacuated(record.listed.hall):
             return True
@@ -89,7 +90,7 @@
         except (ExchangeBroken, TimeoutError):
             return
         record_head(state, record, head, sent_at=sent_at)
-        # Only now is the room free; another call must not come before.
+        # Count the room as free only now, so that no other call uses it earlier.
         capacity = self.capacities.capacity_by_id_.get(endpoint_id)
         if capacity is not None:
             for handle in handles:
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
@@ -1,7 +1,8 @@
 """Choose the group of endpoints, and so the scheduler, for the pieces of a stage.
 
-Reads what schedulers last said of their groups, and looks itself at those that are kept
-here. The scores stand in `leadford.forwarding.batching`.
+Uses the load that other schedulers last reported for their groups; the load of groups
+that this entry schedules is read from its own scheduler. The scores are computed in
+`leadford.forwarding.batching`.
 """
 
 from collections.abc import Iterable, Sequence
@@ -20,7 +21,7 @@
 
 
 class GroupChooser:
-    """Know the scheduler and the load of each group, as far as this entry can."""
+    """Determine the scheduler and the load of each group from what this entry knows."""
 
     def __init__(
         self, *, state: ForwardState, entry_id: EntryId, scheduler: BatchScheduler
@@ -52,7 +53,8 @@
     ) -> GroupId | None:
         """Return the group that should make pieces, if any endpoint is usable.
 
-        `near_bytes_by_hall` is what need not move between halls for a piece made there.
+        `near_bytes_by_hall` holds, for each hall, the bytes that need not move between
+        halls if a piece is made there.
         """
         counts: dict[GroupId, int] = {}
         near: dict[GroupId, int] = {}
@@ -65,7 +67,7 @@
             near[group] = max(near.get(group, 0), near_bytes)
         if not counts:
             counts = self.state.groups_.usable_by_group(stage.service_id, now)
-        self._look_at_own(counts)
+        self._refresh_own_loads(counts)
         most = max(near_bytes_by_hall.values(), default=0)
         return self.loads_.choose(
             counts,
@@ -83,7 +85,7 @@
         return self.loads_.wait_s(group, limits, endpoints.get(group, 1), now)
 
     def remaining_s(self, graph: PieceGraph) -> float:
-        """Return how long the stages that are left are expected to take.
+        """Return how long the remaining stages are expected to take.
 
         Units: seconds.
         """
@@ -100,7 +102,7 @@
     def _least_wait_s(
         self, service_id: ServiceId, limits: PieceLimits, now: float
     ) -> float:
-        """Return the expected wait in the group of a service where it is least."""
+        """Return the shortest expected wait among the groups of a service."""
         counts_by_group = self.state.groups_.usable_by_group(service_id, now)
         waits = [
             self.loads_.wait_s(group, limits, count, now)
@@ -111,9 +113,9 @@
     def wait_ms_by_hall(
         self, stages: Sequence[StageSpec], counts: Sequence[int]
     ) -> dict[HallId, float]:
-        """Return how long the largest results of a request wait to be made in a hall.
+        """Return the expected wait in each hall for the stage with the largest results.
 
-        They should be made where the request itself will run.
+        These results should be made in the hall where the request itself will run.
         """
         sizes = [
             stage.result_bytes * count
@@ -125,7 +127,7 @@
             return {}
         now = self.state.now()
         counts_by_group = self.state.groups_.usable_by_group(stage.service_id, now)
-        self._look_at_own(counts_by_group)
+        self._refresh_own_loads(counts_by_group)
         wait_ms_by_group = {
             group: self.loads_.wait_s(group, service.pieces, count, now) * 1_000.0
             for group, count in counts_by_group.items()
@@ -137,8 +139,8 @@
             if group in wait_ms_by_group
         }
 
-    def _look_at_own(self, groups: Iterable[GroupId]) -> None:
-        """Look at the groups that are scheduled here rather than wait for a report."""
+    def _refresh_own_loads(self, groups: Iterable[GroupId]) -> None:
+        """Read the load of groups that are scheduled here, instead of a report."""
         for group in groups:
             if self.scheduler_of(group) != self.entry_id:
                 continue
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_inputs.py
@@ -1,7 +1,7 @@
-"""Have the stages of one request run, and keep what the request itself reads.
+"""Run the stages of one request, and hold the results that the request itself reads.
 
-Owns the job of one request, if its route has stages. When stages are given up, and when
-an engine has surely fetched its inputs, is decided in `leadford.forwarding.batching`.
+Owns the job of one request, if its route has stages. `leadford.forwarding.batching`
+decides when stages are given up, and when an engine has certainly fetched its inputs.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
         self.attempts_begun_ = 0
 
     def capacities(self, match: RouteMatch) -> dict[ServiceId, StageCapacity]:
-        """Return what the stages of the route can use now."""
+        """Return the capacity that each stage of the route can use now."""
         found: dict[ServiceId, StageCapacity] = {}
         now = self.state.now()
         for stage in match.route.stages:
@@ -55,7 +55,7 @@
         return found
 
     def open(self, progress: RequestProgress) -> Result[None, str]:
-        """Begin a job for the stages of the route, unless there is one."""
+        """Start a job for the stages of the route, unless there is one already."""
         if self.job_ is not None:
             return Success(None)
         request = self.request
@@ -71,7 +71,7 @@
             is_urgent=route.is_urgent,
             delay_s=queue_delay_s(route, match.priority),
             deadline=progress.deadline_,
-            # Worth counts from the first try.
+            # The aim counts from the caller's first try.
             due_at=request.received_at - progress.first_try_s_ + route.aim_ms / 1_000.0,
             is_late=progress.is_late_,
             hall=self._planned_hall(match),
@@ -95,7 +95,7 @@
         return record.listed.hall if record is not None else state.hall
 
     async def make(self) -> None:
-        """Wait for the stages, but not for long when they will not be in time.
+        """Wait for the stages, but give up early if they will not end in time.
 
         Errors: raises StageFailure.
         """
@@ -123,7 +123,7 @@
         return True
 
     def record_attempt(self) -> None:
-        """Count an attempt that begins; it may need the inputs."""
+        """Count a new attempt, which may need the inputs."""
         self.attempts_begun_ += 1
 
     def handles(self) -> tuple[ResultHandle, ...]:
@@ -131,11 +131,11 @@
         return self.job_.graph.final_inputs() if self.job_ is not None else ()
 
     def bytes_by_hall(self) -> dict[HallId, int]:
-        """Return how many bytes of the inputs lie in each hall."""
+        """Return how many bytes of the inputs are stored in each hall."""
         return self.stages.bytes_by_hall(self.job_) if self.job_ is not None else {}
 
     def release_soon(self, record: EndpointRecord) -> None:
-        """Release the inputs once an engine without a queue has surely fetched them."""
+        """Release the inputs once an engine without a queue has certainly read them."""
         if self.job_ is None or not engine_fetches_at_once(record, self.state.now()):
             return
         self.state.loop.call_later(
@@ -145,21 +145,21 @@
     def _release_unless_needed(self, attempt: int) -> None:
         """Release the inputs unless another attempt has begun since.
 
-        Attempts are counted as they begin: a remade one is another attempt.
+        Attempts are counted when they begin, so a repeated one is another attempt.
         """
         if attempt == self.attempts_begun_ and not self.job_.is_over_:
             self.stages.release(self.job_)
 
     def release(self) -> None:
-        """Release the inputs: they have been read, and can be made again."""
+        """Release the inputs, which have been read and can be made again."""
         if self.job_ is not None:
             self.stages.release(self.job_)
 
     def restart(self) -> None:
-        """Forget the inputs, because one of them is gone."""
+        """Drop the inputs, because one of them no longer exists."""
         self.stages.restart(self.job_)
 
     def close(self) -> None:
-        """Drop what waits and release every result."""
+        """Cancel the waiting pieces and release every result."""
         if self.job_ is not None:
             self.stages.close(self.job_)
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_jobs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_jobs.py
@@ -1,7 +1,7 @@
-"""Hold the stages of requests that run, and who has each of their pieces.
+"""Hold the stages of requests under way, and which scheduler has each piece.
 
-Types that `_stages` and its neighbours share, and what they need from the links to
-other entries.
+Defines the types that `_stages` and the other modules of this package share, and what
+they need from the links to other entries.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class StageFailure(Exception):
-    """Tell that the stages of a request cannot be completed."""
+    """Signal that the stages of a request cannot be completed."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(detail)
@@ -30,10 +30,10 @@
 
 
 class PieceResult(msgspec.Struct, frozen=True):
-    """Hold what became of a piece, and at which endpoint.
+    """Hold the outcome of a piece, and the endpoint that was called for it.
 
-    `reason` is the text of a PieceFailure, perhaps with what is known of the cause,
-    where there is no result.
+    Without a result, `reason` is the text of a PieceFailure, possibly followed by what
+    is known of the cause.
     """
 
     handle: ResultHandle | None
@@ -47,28 +47,28 @@
 
 
 class LiveEntries(Protocol):
-    """Know which other entries live."""
+    """Provide the other entries that are alive."""
 
     def halls_by_live_entry(self) -> dict[EntryId, HallId]:
-        """Return the entries that are known to be alive, without this one."""
+        """Return the hall of each entry known to be alive, without this one."""
 
 
 class SchedulerLinks(Protocol):
-    """Reach the schedulers at other entries, and the entries that ask this one."""
+    """Reach the schedulers at other entries, and the entries that submit pieces."""
 
     def submit(self, entry_id: EntryId, group: GroupId, task: PieceTask) -> bool:
-        """Send a piece to a scheduler; return whether a connection stands."""
+        """Send a piece to a scheduler; return whether it is connected."""
 
     def cancel(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
-        """Tell a scheduler that pieces are wanted no more."""
+        """Tell a scheduler that pieces are no longer needed."""
 
     def release(
         self, entry_id: EntryId, endpoint_id: EndpointId, handles: list[ResultHandle]
     ) -> bool:
-        """Tell a scheduler that results have no reader any more."""
+        """Tell a scheduler that results have no readers left."""
 
     def reply(self, task: PieceTask, answer: PieceResult) -> None:
-        """Send the answer for a piece to the entry that asked."""
+        """Send the answer for a piece to the entry that submitted it."""
 
     def send_inputs_read(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
         """Tell an entry that its pieces have fetched their inputs."""
@@ -107,18 +107,18 @@
         self.tries_by_key_: dict[PieceKey, int] = {}
         self.excluded_by_key_: dict[PieceKey, frozenset[EndpointId]] = {}
         self.correlation_ids_: set[int] = set()
-        self.in_backlog_: set[PieceKey] = set()
+        self.backlog_keys_: set[PieceKey] = set()
 
     def fail(self, detail: str) -> None:
         """End the job without its results."""
         if not self.done_.done():
             self.done_.set_exception(StageFailure(detail))
-            # The request may have ended by itself and look no more.
+            # Mark the exception as retrieved: the request may have ended already.
             self.done_.exception()
 
 
 class SentPiece(msgspec.Struct, eq=False):
-    """Hold a piece that a scheduler has."""
+    """Hold a piece that was submitted to a scheduler."""
 
     task: PieceTask
     job: StageJob
@@ -127,8 +127,8 @@
     overdue_at: float
 
 
-class ResultMaker(msgspec.Struct, frozen=True):
-    """Say where a result lies and who accounts for it."""
+class ResultLocation(msgspec.Struct, frozen=True):
+    """Describe where a result is stored and which entry accounts for it."""
 
     endpoint_id: EndpointId
     hall: HallId
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
@@ -1,4 +1,4 @@
-"""Say how much the groups of this entry hold, for others to choose a group by.
+"""Report the load of this entry's groups, by which other entries choose a group.
 
 Reads the queues and the capacities that the scheduler owns; decides nothing.
 """
@@ -17,7 +17,7 @@
 
 
 class GroupLoads:
-    """Read the load of groups, and what this entry still has in those of others."""
+    """Read the load of groups, and what this entry still uses in those of others."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self.queues_by_group = queues_by_group
 
     def load(self, group: GroupId) -> GroupLoad:
-        """Return how long a piece that joins a group now waits, and its room."""
+        """Return the wait of a piece that joins a group now, and the free room."""
         now = self.state.now()
         service = self.state.service(group.service_id)
         if service is None or service.pieces is None:
@@ -47,7 +47,7 @@
     def uses_left(
         self, scheduled_by_others: Callable[[GroupId], bool]
     ) -> list[CapacityUse]:
-        """Return what this entry still has in groups that others schedule now."""
+        """Return what this entry still uses in groups that others schedule now."""
         found = []
         for use in self.capacities.uses(self.state.now()):
             record = self.state.roster_.record(use.endpoint_id)
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_pieces.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_pieces.py
@@ -1,8 +1,8 @@
-"""Exchange pieces with other entries: what is asked of schedulers, and their answers.
+"""Exchange pieces with other entries: requests to schedulers, and their answers.
 
 Translates between the messages of the peer protocol and the types of
-`leadford.forwarding.batching`. Moments travel as time left, since the clocks of two
-processes have nothing in common.
+`leadford.forwarding.batching`. Moments are sent as the time left until them, because
+the clocks of two processes cannot be compared.
 """
 
 from collections.abc import Mapping
@@ -27,7 +27,7 @@
 
 
 class PieceExchange:
-    """Send pieces, answers and releases to other entries, and take theirs."""
+    """Send pieces, answers and releases to other entries, and handle theirs."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.peers_by_id = peers_by_id
 
     def handlers(self) -> MessageHandlers:
-        """Return what handles each kind of message here."""
+        """Return the handler of each type of message."""
         return {
             PieceSubmit: self._on_submit,
             SuspectPieceSubmit: self._on_submit,
@@ -52,7 +52,7 @@
         }
 
     def submit(self, entry_id: EntryId, group: GroupId, task: PieceTask) -> bool:
-        """Send a piece to a scheduler; return whether a connection stands."""
+        """Send a piece to a scheduler; return whether it is connected."""
         peer = self.peers_by_id.get(entry_id)
         if peer is None:
             return False
@@ -80,7 +80,7 @@
         )
 
     def cancel(self, entry_id: EntryId, correlation_ids: list[int]) -> None:
-        """Tell a scheduler that pieces are wanted no more."""
+        """Tell a scheduler that pieces are no longer needed."""
         peer = self.peers_by_id.get(entry_id)
         if peer is not None:
             peer.send(PieceCancel(correlation_ids))
@@ -88,7 +88,7 @@
     def release(
         self, entry_id: EntryId, endpoint_id: EndpointId, handles: list[ResultHandle]
     ) -> bool:
-        """Tell a scheduler that results have no reader any more."""
+        """Tell a scheduler that results have no readers left."""
         peer = self.peers_by_id.get(entry_id)
         if peer is None:
             return False
@@ -101,7 +101,7 @@
             peer.send(PieceWorking(correlation_ids))
 
     def reply(self, task: PieceTask, answer: PieceResult) -> None:
-        """Send the answer for a piece to the entry that asked."""
+        """Send the answer for a piece to the entry that submitted it."""
         peer = self.peers_by_id.get(task.origin)
         message = PieceAnswer(
             task.correlation_id,
@@ -148,7 +148,9 @@
         )
 
     def _on_inputs_read(self, peer: PeerConnection, message: PieceWorking) -> None:
-        self.stages.on_working(EntryId(peer.info.peer_id), message.correlation_ids)
+        self.stages.record_inputs_read(
+            EntryId(peer.info.peer_id), message.correlation_ids
+        )
 
     def _on_cancel(self, peer: PeerConnection, message: PieceCancel) -> None:
         origin = EntryId(peer.info.peer_id)
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_results.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_results.py
@@ -1,57 +1,61 @@
-"""Hold where the results of this entry's requests lie, and release them.
+"""Track where the results of this entry's requests are stored, and release them.
 
-Owns the maker of each result that a request of this entry holds. A result is released
-to the entry that accounts for the room at its endpoint; if that entry is out of reach,
-this one frees it itself.
+Owns the location of each result that a request of this entry holds. A result is
+released through the entry that accounts for the room at its endpoint; if that entry is
+unreachable, this entry frees the result itself.
 """
 
 from collections.abc import Callable, Iterable
 
 from leadford.common import EndpointId, EntryId, HallId
 from leadford.forwarding.routes import ResultHandle
-from leadford_server.forwarding.batching._jobs import ResultMaker, SchedulerLinks
+from leadford_server.forwarding.batching._jobs import ResultLocation, SchedulerLinks
 
-# Releases results of an endpoint from here.
-ReleaseHere = Callable[[EndpointId, list[ResultHandle]], None]
+# Frees results of an endpoint from this entry.
+ReleaseLocally = Callable[[EndpointId, list[ResultHandle]], None]
 
 
-class ResultLedger:
-    """Know the maker of each result, and release results that nobody reads any more."""
+class ResultTable:
+    """Track the location of each result, and release results without readers."""
 
     def __init__(
         self,
         *,
         entry_id: EntryId,
-        release_here: ReleaseHere,
+        release_locally: ReleaseLocally,
     ) -> None:
         self.entry_id = entry_id
-        self.release_here = release_here
+        self.release_locally = release_locally
         self.links: SchedulerLinks | None = None
-        self.maker_by_handle_: dict[ResultHandle, ResultMaker] = {}
+        self.location_by_handle_: dict[ResultHandle, ResultLocation] = {}
 
-    def record(self, handle: ResultHandle, maker: ResultMaker) -> None:
-        """Record who made a result and who accounts for it."""
-        self.maker_by_handle_[handle] = maker
+    def record(self, handle: ResultHandle, location: ResultLocation) -> None:
+        """Record where a result is stored and which entry accounts for it."""
+        self.location_by_handle_[handle] = location
 
     def bytes_by_hall(self, handles: Iterable[ResultHandle]) -> dict[HallId, int]:
-        """Return how many bytes of the results lie in each hall."""
+        """Return how many bytes of the results are stored in each hall."""
         found: dict[HallId, int] = {}
         for handle in handles:
-            maker = self.maker_by_handle_.get(handle)
-            if maker is not None:
-                found[maker.hall] = found.get(maker.hall, 0) + maker.result_bytes
+            location = self.location_by_handle_.get(handle)
+            if location is not None:
+                found[location.hall] = (
+                    found.get(location.hall, 0) + location.result_bytes
+                )
         return found
 
     def release(self, handles: list[ResultHandle]) -> None:
-        """Release results that nobody reads any more."""
-        by_place: dict[tuple[EntryId, EndpointId], list[ResultHandle]] = {}
+        """Release results that have no readers left."""
+        handles_by_destination: dict[
+            tuple[EntryId, EndpointId], list[ResultHandle]
+        ] = {}
         for handle in handles:
-            maker = self.maker_by_handle_.pop(handle, None)
-            if maker is not None:
-                place = (maker.scheduler_id, maker.endpoint_id)
-                by_place.setdefault(place, []).append(handle)
-        for (scheduler_id, endpoint_id), group in by_place.items():
-            self.release_at(scheduler_id, endpoint_id, group)
+            location = self.location_by_handle_.pop(handle, None)
+            if location is not None:
+                destination = (location.scheduler_id, location.endpoint_id)
+                handles_by_destination.setdefault(destination, []).append(handle)
+        for (scheduler_id, endpoint_id), released in handles_by_destination.items():
+            self.release_at(scheduler_id, endpoint_id, released)
 
     def release_at(
         self,
@@ -63,4 +67,4 @@
         is_elsewhere = scheduler_id != self.entry_id
         if is_elsewhere and self.links.release(scheduler_id, endpoint_id, handles):
             return
-        self.release_here(endpoint_id, handles)
+        self.release_locally(endpoint_id, handles)
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
@@ -1,8 +1,9 @@
-"""Keep the queues of groups: fill calls from the pieces of all entries.
+"""Schedule the pieces of groups: fill calls from the pieces of all entries.
 
-Owns the queue of each group that this entry schedules, and what this entry has at each
-endpoint. Which call leaves next is decided in `leadford.forwarding.batching`; `_calls`
-makes it, `_free` frees results. Answers go to the entries that asked by `reply`.
+Owns the queue of each group that this entry schedules, and the account of its calls and
+results at each endpoint. `leadford.forwarding.batching` decides which call is sent
+next; `_calls` makes it, and `_free` frees results. `reply` sends the answers to the
+entries that submitted the pieces.
 """
 
 import asyncio
@@ -27,16 +28,15 @@
 from leadford.forwarding.routes import PieceLimits, ResultHandle, Service
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding.batching._calls import CallEnd, PieceCall, PieceCalls
-from leadford_server.forwarding.batching._free import ResultFreeing
+from leadford_server.forwarding.batching._free import ResultReleaser
 from leadford_server.forwarding.batching._jobs import PieceResult
 from leadford_server.forwarding.batching._loads import GroupLoads
 from leadford_server.metrics import PIECE_CALLS_TOTAL, PIECES_TOTAL
 
-# Seconds between looks at a group whose pieces no endpoint takes: a pause or a
-# retention ends without any other event.
-LOOK_S = 0.04
-# Seconds added to the end of a batching window, so that it is over when it is looked
-# at.
+# Time between checks of a group whose pieces no endpoint takes: no event marks the end
+# of a pause or a retention.
+RECHECK_INTERVAL_S = 0.04
+# Added to the end of a batching window, so that it is over when it is checked.
 WINDOW_MARGIN_S = 0.001
 # Counted for a piece that was made.
 PIECE_DONE = "done"
@@ -57,7 +57,7 @@
         self.on_inputs_read = on_inputs_read
         self.capacities_ = CapacityTable()
         self.calls = PieceCalls(state=state)
-        self.freeing = ResultFreeing(
+        self.releaser = ResultReleaser(
             state=state,
             capacities=self.capacities_,
             spawn=self._spawn,
@@ -73,24 +73,24 @@
         self.tasks_: set[asyncio.Task[None]] = set()
         self.calls_under_way_ = 0
         self.dispatch_due_: set[GroupId] = set()
-        self.look_due_: set[GroupId] = set()
+        self.recheck_due_: set[GroupId] = set()
 
     def submit(self, group: GroupId, task: PieceTask) -> None:
         """Queue a piece."""
         self.queues_by_group_.setdefault(group, PieceQueue()).push(task)
         if group in self.dispatch_due_:
             return
-        # Calls are filled after everything of this moment has been queued.
+        # Calls are filled after all pieces that arrive together have been queued.
         self.dispatch_due_.add(group)
         self.state.loop.call_soon(self._dispatch, group)
 
     @property
     def calls_under_way(self) -> int:
-        """Return how many calls for pieces run."""
+        """Return how many calls for pieces are under way."""
         return self.calls_under_way_
 
     def made_rate(self, group: GroupId) -> MadeRate | None:
-        """Sample what a group makes, and return it while the group is behind."""
+        """Sample the throughput of a group, and return it while the group is behind."""
         service = self.state.service(group.service_id)
         if service is None or service.pieces is None:
             return None
@@ -121,34 +121,34 @@
             queue.discard(lambda task: task.origin != origin)
 
     def give_back(self, is_scheduled_elsewhere: Callable[[GroupId], bool]) -> None:
-        """Give waiting pieces of groups back that another entry schedules now.
+        """Return waiting pieces of groups that another entry schedules now.
 
-        Two queues for the same endpoints get in each other's way: pieces that wait at
-        the one meet endpoints that the calls of the other have filled.
+        Two queues for the same endpoints interfere: pieces that wait in one find the
+        endpoints filled by the calls of the other.
         """
-        # What is given back may be queued here again, in another group.
+        # A returned piece may be queued here again, in another group: use a copy.
         for group, queue in list(self.queues_by_group_.items()):
             if len(queue) > 0 and is_scheduled_elsewhere(group):
                 for task in queue.discard(lambda task: False):
                     self.reply(task, PieceResult(None, PieceFailure.MOVED.value, None))
 
     def release(self, endpoint_id: EndpointId, handles: list[ResultHandle]) -> None:
-        """Free results: nobody reads them any more."""
-        self.freeing.release(endpoint_id, handles)
+        """Free results that have no readers left."""
+        self.releaser.release(endpoint_id, handles)
 
     def wake(self) -> None:
-        """Look again whether calls can leave, after the listing has changed."""
+        """Check again whether calls can be sent, after the listing has changed."""
         self.capacities_.retain(self.state.roster_.known_ids())
         for group in list(self.queues_by_group_):
             self._dispatch(group)
 
     def _dispatch(self, group: GroupId) -> None:
-        """Send the calls of a group that can leave now."""
+        """Send the calls of a group that can be sent now."""
         self.dispatch_due_.discard(group)
         queue = self.queues_by_group_[group]
         while len(queue) > 0:
             now = self.state.now()
-            self._drop_late(queue, now)
+            self._answer_expired(queue, now)
             service = self.state.service(group.service_id)
             records = self.loads.records(group)
             if service is None or service.pieces is None or not records:
@@ -157,7 +157,7 @@
             if not self._send_next(group, service, records, now):
                 return
 
-    def _drop_late(self, queue: PieceQueue, now: float) -> None:
+    def _answer_expired(self, queue: PieceQueue, now: float) -> None:
         for task in queue.discard(lambda task: task.deadline > now):
             self.reply(task, PieceResult(None, PieceFailure.LATE.value, None))
 
@@ -172,15 +172,15 @@
         records: list[EndpointRecord],
         now: float,
     ) -> bool:
-        """Do what the rule says next; return whether to ask it again at once."""
+        """Take the step of `next_call`; return whether to ask for another at once."""
         queue = self.queues_by_group_[group]
-        self._pause_held(records, service.pieces, now)
+        self._pause_throttled(records, service.pieces, now)
         step = next_call(queue, self.capacities_, records, service.pieces, now)
         if step.action is FillAction.NOTHING_WAITS:
             return False
         if step.action is FillAction.SEND:
             tasks = list(step.tasks)
-            self._begin(
+            self._start_call(
                 PieceCall(group, service, step.record, tasks, now, step.room_bytes)
             )
             return True
@@ -189,13 +189,13 @@
             self.state.loop.call_later(wait_s, self._dispatch, group)
             return False
         self._answer_no_endpoint(step.unserved)
-        self._look_again(group)
+        self._schedule_recheck(group)
         return False
 
-    def _pause_held(
+    def _pause_throttled(
         self, records: Iterable[EndpointRecord], limits: PieceLimits, now: float
     ) -> None:
-        """Send no calls to endpoints that ask for less, until they take one."""
+        """Pause endpoints that asked for fewer requests until they take one."""
         for record in records:
             hold_s = self.state.hold_s(record)
             if hold_s > 0.0:
@@ -206,18 +206,18 @@
         if group in self.queues_by_group_:
             self._dispatch(group)
 
-    def _look_again(self, group: GroupId) -> None:
-        """Look again later: a pause or a retention ends without any other event."""
-        if group in self.look_due_:
+    def _schedule_recheck(self, group: GroupId) -> None:
+        """Check a group later: no event marks the end of a pause or a retention."""
+        if group in self.recheck_due_:
             return
-        self.look_due_.add(group)
-        self.state.loop.call_later(LOOK_S, self._look, group)
+        self.recheck_due_.add(group)
+        self.state.loop.call_later(RECHECK_INTERVAL_S, self._recheck, group)
 
-    def _look(self, group: GroupId) -> None:
-        self.look_due_.discard(group)
+    def _recheck(self, group: GroupId) -> None:
+        self.recheck_due_.discard(group)
         self._dispatch(group)
 
-    def _begin(self, call: PieceCall) -> None:
+    def _start_call(self, call: PieceCall) -> None:
         capacity = self.capacities_.capacity(
             call.record.listed.endpoint_id, call.limits
         )
@@ -227,17 +227,19 @@
         self.calls_under_way_ += 1
         self._spawn(self._run_call(call))
         if is_idle:
-            self.state.loop.call_later(CALL_INPUTS_READ_S, self._tell_inputs_read, call)
+            self.state.loop.call_later(
+                CALL_INPUTS_READ_S, self._report_inputs_read, call
+            )
 
-    def _tell_inputs_read(self, call: PieceCall) -> None:
-        """Tell that the inputs of a call are fetched, unless it is over."""
+    def _report_inputs_read(self, call: PieceCall) -> None:
+        """Report that the inputs of a call were fetched, unless it is over."""
         readers = [task for task in call.tasks if task.inputs]
         if readers and not call.is_over:
             call.inputs_are_read = True
             self.on_inputs_read(readers)
 
     def _queue_again(self, call: PieceCall, task: PieceTask, reason: str) -> None:
-        """Queue a piece that was not made, unless its inputs were released."""
+        """Queue a piece again, or reply that it failed if its inputs were released."""
         if call.inputs_are_read and task.inputs:
             self.reply(task, PieceResult(None, reason, None))
             return
@@ -249,7 +251,7 @@
         running.add_done_callback(self.tasks_.discard)
 
     async def _run_call(self, call: PieceCall) -> None:
-        """Make a call, and settle what became of its pieces."""
+        """Make a call, and settle its pieces."""
         try:
             end = await self.calls.run(call)
         finally:
@@ -282,7 +284,7 @@
             self.reply(task, PieceResult(None, detail, endpoint_id))
 
     def _settle(self, call: PieceCall, end: CallEnd) -> None:
-        """Settle a call by what became of each of its pieces."""
+        """Settle a call by the outcome of each of its pieces."""
         endpoint_id = call.record.listed.endpoint_id
         capacity = self.capacities_.capacity(endpoint_id, call.limits)
         now = self.state.now()
@@ -294,7 +296,7 @@
         for task, outcome in pairs:
             PIECES_TOTAL.labels(end=outcome.reason or PIECE_DONE).inc()
             if outcome.reason == no_room:
-                # Results that this process does not know take room there.
+                # Results unknown to this process take room at the endpoint.
                 capacity.pause(PAUSE_ROOM_S, now)
                 self._queue_again(call, task, no_room)
                 continue
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_sent.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_sent.py
@@ -1,8 +1,8 @@
-"""Hold the pieces that schedulers have, and match their answers.
+"""Track the pieces that schedulers have, and match their answers.
 
-Each piece that is sent has a correlation id, by which its answer is known. A piece
-whose scheduler is lost, or silent for too long, is given back by `on_lost`; an answer
-that comes after that matches nothing.
+Each piece that is sent has a correlation id, which identifies its answer. A piece whose
+scheduler is lost, or does not answer in time, is passed to `on_lost`; an answer that
+arrives after that matches nothing.
 """
 
 from collections.abc import Callable
@@ -21,17 +21,17 @@
 )
 from leadford_server.forwarding.batching._scheduler import BatchScheduler
 
-# What the log says of a piece that its scheduler did not answer.
+# Logged for a piece that its scheduler did not answer.
 REASON_SCHEDULER_LOST = "keeper lost"
 REASON_SCHEDULER_SILENT = "keeper silent"
-# Bits of a correlation id that are drawn, and those that count: another process of this
-# entry must never draw the same correlation ids.
-ID_BITS_DRAWN = 40
-ID_BITS_COUNTED = 20
+# The high bits of correlation ids are random and the low bits count: another process of
+# this entry must never use the same correlation ids.
+ID_RANDOM_BITS = 40
+ID_COUNTER_BITS = 20
 
 
 class SentPieces:
-    """Hand pieces to schedulers, and follow them until they are answered."""
+    """Submit pieces to schedulers, and track them until they are answered."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         self.on_lost = on_lost
         self.links: SchedulerLinks | None = None
         self.sent_by_id_: dict[int, SentPiece] = {}
-        drawn = state.random.getrandbits(ID_BITS_DRAWN)
-        self.next_id_ = drawn << ID_BITS_COUNTED
+        drawn = state.random.getrandbits(ID_RANDOM_BITS)
+        self.next_id_ = drawn << ID_COUNTER_BITS
 
     def new_correlation_id(self) -> int:
         """Return a correlation id that was never used."""
@@ -58,8 +58,10 @@
         self.next_id_ += 1
         return correlation_id
 
-    def hand_over(self, sent: SentPiece, limits: PieceLimits, now: float) -> None:
-        """Give a piece to its scheduler; this entry keeps it when no link stands."""
+    def submit_to_scheduler(
+        self, sent: SentPiece, limits: PieceLimits, now: float
+    ) -> None:
+        """Submit a piece to its scheduler, or here if that is not connected."""
         wait_s = self.groups.wait_s(sent.group, limits, now)
         sent.overdue_at = scheduler_limit_at(limits, wait_s, now)
         self.sent_by_id_[sent.task.correlation_id] = sent
@@ -79,12 +81,12 @@
         return sent
 
     def settle(self, sent: SentPiece) -> None:
-        """Record that the answer for a piece has come."""
+        """Record that the answer for a piece has arrived."""
         del self.sent_by_id_[sent.task.correlation_id]
         sent.job.correlation_ids_.discard(sent.task.correlation_id)
 
     def cancel(self, job: StageJob) -> None:
-        """Drop the pieces of a job that schedulers have."""
+        """Cancel the pieces of a job that schedulers have."""
         ids_by_scheduler: dict[EntryId, list[int]] = {}
         for correlation_id in job.correlation_ids_:
             sent = self.sent_by_id_.pop(correlation_id, None)
@@ -100,19 +102,19 @@
                 self.links.cancel(scheduler_id, correlation_ids)
 
     def scheduler_lost(self, entry_id: EntryId) -> None:
-        """Make elsewhere what a lost scheduler had."""
+        """Pass the pieces of a lost scheduler to `on_lost`, to be made elsewhere."""
         lost = [s for s in self.sent_by_id_.values() if s.scheduler_id == entry_id]
         for sent in lost:
-            self._give_back(sent, REASON_SCHEDULER_LOST)
+            self._report_lost(sent, REASON_SCHEDULER_LOST)
 
     def check(self) -> None:
-        """Make elsewhere what is overdue at its scheduler."""
+        """Pass overdue pieces to `on_lost`, to be made elsewhere."""
         now = self.state.now()
         overdue = [s for s in self.sent_by_id_.values() if s.overdue_at <= now]
         for sent in overdue:
-            self._give_back(sent, REASON_SCHEDULER_SILENT)
+            self._report_lost(sent, REASON_SCHEDULER_SILENT)
 
-    def _give_back(self, sent: SentPiece, reason: str) -> None:
+    def _report_lost(self, sent: SentPiece, reason: str) -> None:
         if self.sent_by_id_.pop(sent.task.correlation_id, None) is None:
             return
         sent.job.correlation_ids_.discard(sent.task.correlation_id)
@@ -122,8 +124,8 @@
             self.scheduler.cancel(self.entry_id, {sent.task.correlation_id})
         self.on_lost(sent, PieceResult(None, reason, None))
 
-    def believe_lost(self, sent: SentPiece, answer: PieceResult) -> None:
-        """Believe another entry that an endpoint of its group did not answer."""
+    def record_reported_loss(self, sent: SentPiece, answer: PieceResult) -> None:
+        """Record an endpoint as lost if the scheduler at another entry reports it."""
         is_lost = answer.failure in ENDPOINT_LOST
         if (
             sent.scheduler_id == self.entry_id
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_stages.py
@@ -1,8 +1,8 @@
-"""Run the stages of requests: send the pieces that can be made, and take their results.
+"""Run the stages of requests: send the pieces that are ready, and handle the results.
 
-Owns the jobs of the requests that this entry holds, and what it has admitted and not
-yet made. Which pieces can be made follows from the graph of a request; what follows a
-piece that was not made is decided in `leadford.forwarding.batching`.
+Owns the jobs of the requests that this entry holds, and the backlog of pieces that are
+admitted and not yet made. The graph of a request determines which pieces are ready;
+`leadford.forwarding.batching` decides what follows a piece that was not made.
 """
 
 from leadford.common import EntryId, HallId
@@ -24,19 +24,19 @@
 from leadford_server.forwarding.batching._jobs import (
     LiveEntries,
     PieceResult,
-    ResultMaker,
+    ResultLocation,
     SchedulerLinks,
     SentPiece,
     StageJob,
 )
-from leadford_server.forwarding.batching._results import ResultLedger
+from leadford_server.forwarding.batching._results import ResultTable
 from leadford_server.forwarding.batching._scheduler import BatchScheduler
 from leadford_server.forwarding.batching._sent import SentPieces
 from leadford_server.forwarding.batching._tasks import TaskMaker
 
-# Characters of a failure that the log line of a piece made again holds.
-REASON_LOGGED = 120
-# What the log says of stages that are given up because endpoints ended under them.
+# Bounds the reason in the log line of a piece that is made again.
+MAX_REASON_CHARACTERS = 120
+# Logged for stages that are given up because endpoints ended while running them.
 DETAIL_QUARANTINED = "quarantined"
 
 
@@ -52,9 +52,9 @@
         self.groups = GroupChooser(
             state=state, entry_id=entry_id, scheduler=self.scheduler_
         )
-        self.results = ResultLedger(
+        self.results = ResultTable(
             entry_id=entry_id,
-            release_here=self.scheduler_.release,
+            release_locally=self.scheduler_.release,
         )
         self.backlog_ = AdmittedBacklog()
         self.tasks = TaskMaker(state=state, entry_id=entry_id, results=self.results)
@@ -63,33 +63,36 @@
             entry_id=entry_id,
             scheduler=self.scheduler_,
             groups=self.groups,
-            on_lost=self._not_made,
+            on_lost=self._on_piece_failed,
         )
         self.links: SchedulerLinks | None = None
 
     def connect(self, live_entries: LiveEntries, links: SchedulerLinks) -> None:
-        """Use links to other entries from now on."""
+        """Set the links to other entries."""
         self.groups.live_entries = live_entries
         self.links = links
         self.sent.links = links
         self.results.links = links
 
     def give_back(self) -> None:
-        """Leave waiting pieces to the entries that schedule their groups now."""
+        """Return waiting pieces of groups that other entries schedule now."""
         self.scheduler_.give_back(
             lambda group: self.groups.scheduler_of(group) != self.entry_id
         )
 
     def open(self, job: StageJob) -> None:
-        """Count the pieces of a job that begins; those that are late give way."""
+        """Add the pieces of a new job to the backlog.
+
+        A late job is not counted: it gives way to others.
+        """
         if job.is_late:
             return
         for key in job.graph.pieces_by_key_:
-            job.in_backlog_.add(key)
+            job.backlog_keys_.add(key)
             self.backlog_.add(self._backlog_key(job, key), 1)
 
     async def complete(self, job: StageJob) -> None:
-        """Make what is missing; raises StageFailure."""
+        """Make the missing results; raises StageFailure."""
         if job.graph.is_done:
             return
         if job.done_.done():
@@ -98,12 +101,12 @@
         await job.done_
 
     def close(self, job: StageJob) -> None:
-        """End a job: drop what waits and release all its results."""
+        """End a job: cancel its waiting pieces and release all its results."""
         if job.is_over_:
             return
         job.is_over_ = True
-        for key in list(job.in_backlog_):
-            self._leave_backlog(job, key)
+        for key in list(job.backlog_keys_):
+            self._remove_from_backlog(job, key)
         self.sent.cancel(job)
         self.release(job)
 
@@ -112,25 +115,25 @@
         self.results.release(job.graph.take_all())
 
     def restart(self, job: StageJob) -> None:
-        """Forget the results that the request itself reads: one of them is gone."""
+        """Drop the results that the request itself reads: one no longer exists."""
         self.results.release(job.graph.drop_stage(job.graph.sinks_))
 
     def bytes_by_hall(self, job: StageJob) -> dict[HallId, int]:
-        """Return where the results lie that the request itself reads."""
+        """Return how many bytes of the inputs of the request are in each hall."""
         return self.results.bytes_by_hall(job.graph.final_inputs())
 
     def _backlog_key(self, job: StageJob, key: PieceKey) -> BacklogKey:
         return BacklogKey(job.graph.stages[key.stage].service_id, job.is_urgent)
 
-    def _leave_backlog(self, job: StageJob, key: PieceKey) -> None:
-        """Count a piece as made, or as wanted no more."""
-        if key not in job.in_backlog_:
+    def _remove_from_backlog(self, job: StageJob, key: PieceKey) -> None:
+        """Remove a piece that was made, or is no longer needed, from the backlog."""
+        if key not in job.backlog_keys_:
             return
-        job.in_backlog_.discard(key)
+        job.backlog_keys_.discard(key)
         self.backlog_.add(self._backlog_key(job, key), -1)
 
     def _advance(self, job: StageJob) -> None:
-        """Send the pieces that are due."""
+        """Send the pieces that are ready, or end the job if none are left."""
         if job.is_over_ or job.done_.done():
             return
         self.results.release(job.graph.take_unread())
@@ -147,7 +150,7 @@
                 return
 
     def _send_stage(self, job: StageJob, number: int, keys: list[PieceKey]) -> None:
-        """Send pieces of one stage, those that fit in one call to one group."""
+        """Send pieces of one stage; those that fit in one call go to one group."""
         stage = job.graph.stages[number]
         service = self.state.service(stage.service_id)
         if service is None or service.pieces is None:
@@ -176,7 +179,7 @@
         )
         if group is None:
             self.state.loop.call_later(
-                NO_ENDPOINT_WAIT_S, self._send_later, job, stage, limits, keys
+                NO_ENDPOINT_WAIT_S, self._retry_send, job, stage, limits, keys
             )
             return
         scheduler_id = self.groups.scheduler_of(group)
@@ -185,11 +188,11 @@
             task = self.tasks.make(
                 job, key, correlation_id=correlation_id, excluded=excluded, now=now
             )
-            self.sent.hand_over(
+            self.sent.submit_to_scheduler(
                 SentPiece(task, job, group, scheduler_id, 0.0), limits, now
             )
 
-    def _send_later(
+    def _retry_send(
         self,
         job: StageJob,
         stage: StageSpec,
@@ -204,25 +207,27 @@
         self._send(job, stage, limits, keys)
 
     def _on_result(self, task: PieceTask, answer: PieceResult) -> None:
-        """Take an answer of the scheduler here, for this entry or for another."""
+        """Handle an answer of the scheduler here, for this entry or for another."""
         if task.origin != self.entry_id:
             self.links.reply(task, answer)
             return
         self.on_answer(self.entry_id, task.correlation_id, answer)
 
     def _on_inputs_read(self, tasks: list[PieceTask]) -> None:
-        """Tell the entries of pieces that these have fetched their inputs."""
+        """Tell the entries that submitted pieces that their inputs were fetched."""
         ids_by_origin: dict[EntryId, list[int]] = {}
         for task in tasks:
             ids_by_origin.setdefault(task.origin, []).append(task.correlation_id)
         for origin, correlation_ids in ids_by_origin.items():
             if origin == self.entry_id:
-                self.on_working(self.entry_id, correlation_ids)
+                self.record_inputs_read(self.entry_id, correlation_ids)
             else:
                 self.links.send_inputs_read(origin, correlation_ids)
 
-    def on_working(self, scheduler_id: EntryId, correlation_ids: list[int]) -> None:
-        """Release results that all readers have fetched."""
+    def record_inputs_read(
+        self, scheduler_id: EntryId, correlation_ids: list[int]
+    ) -> None:
+        """Record that inputs were fetched, and release results without readers."""
         jobs: dict[int, StageJob] = {}
         for correlation_id in correlation_ids:
             sent = self.sent.awaited(scheduler_id, correlation_id)
@@ -236,10 +241,10 @@
     def on_answer(
         self, scheduler_id: EntryId, correlation_id: int, answer: PieceResult
     ) -> None:
-        """Record what became of a piece."""
+        """Record the outcome of a piece."""
         sent = self.sent.awaited(scheduler_id, correlation_id)
         if sent is None:
-            # Made for nobody: cancelled, overdue, or of an earlier process.
+            # The piece was cancelled, overdue, or submitted by an earlier process.
             if answer.handle is not None and answer.endpoint_id is not None:
                 self.results.release_at(
                     scheduler_id, answer.endpoint_id, [answer.handle]
@@ -248,29 +253,29 @@
         self.sent.settle(sent)
         job = sent.job
         if answer.handle is None:
-            self._not_made(sent, answer)
+            self._on_piece_failed(sent, answer)
             return
         record = self.state.roster_.record(answer.endpoint_id)
         hall = record.listed.hall if record is not None else self.state.hall
-        maker = ResultMaker(
+        location = ResultLocation(
             answer.endpoint_id, hall, scheduler_id, sent.task.result_bytes
         )
-        self.results.record(answer.handle, maker)
+        self.results.record(answer.handle, location)
         if job.is_over_:
             self.results.release([answer.handle])
             return
-        self._leave_backlog(job, sent.task.key)
+        self._remove_from_backlog(job, sent.task.key)
         job.graph.record_done(sent.task.key, answer.handle)
         self._advance(job)
 
-    def _not_made(self, sent: SentPiece, answer: PieceResult) -> None:
-        """Follow the rule for a piece that was not made."""
+    def _on_piece_failed(self, sent: SentPiece, answer: PieceResult) -> None:
+        """Apply `decide_remake` to a piece that was not made."""
         job = sent.job
         key = sent.task.key
         if job.is_over_ or job.done_.done():
             return
         if answer.failure is PieceFailure.LOST and answer.endpoint_id is not None:
-            # The call may have held pieces of others, which get a case as well.
+            # Other requests with pieces in the same call get a case as well.
             self.state.quarantine_.record_lost(
                 job.digest, answer.endpoint_id, is_under_way=False
             )
@@ -288,7 +293,7 @@
         if decision.action is RemakeAction.FAIL_TRIES:
             job.fail(f"piece failed {decision.tries} times: {answer.reason}")
             return
-        self.sent.believe_lost(sent, answer)
+        self.sent.record_reported_loss(sent, answer)
         if answer.endpoint_id is not None and decision.excludes_endpoint:
             job.excluded_by_key_[key] = frozenset({answer.endpoint_id})
         self.state.log.report(
@@ -298,11 +303,11 @@
             piece=key.piece,
             endpoint=answer.endpoint_id or "",
             keeper=sent.scheduler_id,
-            reason=answer.reason[:REASON_LOGGED],
+            reason=answer.reason[:MAX_REASON_CHARACTERS],
         )
         job.graph.record_failed(key)
         if decision.action is RemakeAction.REMAKE_LATER:
-            # The scheduler's listing differs from ours: give both a moment to agree.
+            # The scheduler's listing differs from this entry's: wait for both to agree.
             load = GroupLoad.unavailable(self.state.now())
             self.groups.loads_.record_load(sent.group, load)
             self.state.loop.call_later(NO_ENDPOINT_WAIT_S, self._advance, job)
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_tasks.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_tasks.py
@@ -1,7 +1,7 @@
 """Describe the pieces of a request to the schedulers that make them.
 
-A task says what a piece reads, by when it is due, and which halls its inputs lie in.
-How tasks are ordered and placed by it is decided in `leadford.forwarding.batching`.
+A task says what a piece reads, when it is due, and which halls store its inputs.
+`leadford.forwarding.batching` decides how tasks are ordered and placed.
 """
 
 from leadford.common import EndpointId, EntryId, HallId
@@ -9,14 +9,14 @@
 from leadford.forwarding.routes import StageSpec
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding.batching._jobs import StageJob
-from leadford_server.forwarding.batching._results import ResultLedger
+from leadford_server.forwarding.batching._results import ResultTable
 
 
 class TaskMaker:
     """Make the tasks of requests that this entry holds."""
 
     def __init__(
-        self, *, state: ForwardState, entry_id: EntryId, results: ResultLedger
+        self, *, state: ForwardState, entry_id: EntryId, results: ResultTable
     ) -> None:
         self.state = state
         self.entry_id = entry_id
@@ -33,7 +33,7 @@
     ) -> PieceTask:
         """Return the task for one piece of a request, which is sent now."""
         stage = job.graph.stages[key.stage]
-        due_at = job.due_at - self._after_s(job, key.stage)
+        due_at = job.due_at - self._downstream_s(job, key.stage)
         return PieceTask(
             correlation_id=correlation_id,
             origin=self.entry_id,
@@ -54,7 +54,7 @@
     def excluded(
         self, job: StageJob, stage: StageSpec, keys: list[PieceKey]
     ) -> frozenset[EndpointId]:
-        """Return the endpoints where pieces failed, unless no others are left."""
+        """Return the endpoints where pieces failed, or none if no others are usable."""
         excluded = frozenset().union(
             *(job.excluded_by_key_.get(key, frozenset()) for key in keys)
         )
@@ -63,10 +63,10 @@
         return excluded if others else frozenset()
 
     def near_bytes_by_hall(self, job: StageJob, number: int) -> dict[HallId, int]:
-        """Return what need not move between halls if a piece is made in one of them.
+        """Return, for each hall, the bytes that need not move if a piece is made there.
 
-        A piece reads every input; a result that the engine reads, or that reads
-        nothing itself, is best made where the engine will be.
+        A piece reads every input. A result that the engine reads, or that has no inputs
+        itself, is best made in the hall of the engine.
         """
         near = self.results.bytes_by_hall(job.graph.inputs(number))
         if number in job.graph.sinks_ or not near:
@@ -74,8 +74,8 @@
             near[job.hall] = near.get(job.hall, 0) + result_bytes
         return near
 
-    def _after_s(self, job: StageJob, number: int) -> float:
-        """Return how long the stages after one of them take on their longest way."""
+    def _downstream_s(self, job: StageJob, number: int) -> float:
+        """Return how long the longest chain of stages after a stage takes."""
         total_s = 0.0
         readers = [
             later
@@ -87,5 +87,5 @@
             if service is None or service.pieces is None:
                 continue
             call_s = service.pieces.full_call_s
-            total_s = max(total_s, call_s + self._after_s(job, later))
+            total_s = max(total_s, call_s + self._downstream_s(job, later))
         return total_s
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/tests/test_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Pieces that are given back leave their queue, whatever follows for them."""
+"""Pieces that are given back leave their queue, even if they are queued again."""
 
 from types import SimpleNamespace
 
