--- a/packages/leadford-server/src/leadford_server/forwarding/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forward requests to endpoints without an agent, with their stages before them."""
+"""Forward requests, after their stages, to endpoints that run without an agent."""
 
 from leadford_server.forwarding._contract import (
     AnswerHead,
--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -1,6 +1,7 @@
-"""Say what forwarding needs from an adapter to a platform's wire.
+"""Define what forwarding needs from an adapter to a platform's wire format.
 
-An adapter turns names and formats into these messages and back. It decides nothing.
+An adapter translates names and formats into these messages and back. It decides
+nothing.
 """
 
 from enum import Enum
@@ -18,9 +19,9 @@
 )
 from leadford.forwarding.routes import ResultHandle
 
-# Statuses from the first up to the second say that a request was served.
+# Statuses from the first up to, but not including, the second mean success.
 STATUS_SUCCESS = 200
-STATUS_NO_SUCCESS = 300
+STATUS_SUCCESS_END = 300
 
 HeaderList = list[tuple[str, str]]
 
@@ -42,7 +43,7 @@
     deadline_ms: float | None = None
     last_event_id: int | None = None
     piece_counts: tuple[int, ...] | None = None
-    # Tells the pieces of this request that read nothing from those of others.
+    # Distinguishes pieces without inputs of this request from those of others.
     request_key: str = ""
     prompt: PromptShape = PromptShape((), 0)
     tokens_out: int = 0
@@ -51,7 +52,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return what tells that two requests are the same one sent again."""
+        """Return a value that is the same when a request is sent again."""
         return f"{self.request_key}/{self.prompt.own_part}"
 
     @property
@@ -61,12 +62,12 @@
 
 
 class ForwardCall(msgspec.Struct, frozen=True):
-    """Hold what is set on a request when it goes to an endpoint.
+    """Hold what this entry sets on a request that it sends to an endpoint.
 
-    Units: remaining_ms is what is left of the caller's time.
+    Units: remaining_ms is the time left until the caller's deadline.
     """
 
-    # The start of an endpoint that is meant; another process at its address refuses.
+    # Identifies one start of an endpoint; another process at its address refuses.
     endpoint_id: EndpointId
     remaining_ms: float | None
     workspace: str | None
@@ -77,7 +78,7 @@
 
 
 class OutboundRequest(msgspec.Struct, frozen=True):
-    """Hold a request as it goes to an endpoint."""
+    """Hold a request as it is sent to an endpoint."""
 
     method: str
     target: str
@@ -86,10 +87,10 @@
 
 
 class NotRunCause(Enum):
-    """Say why an endpoint did not run a request or a call, as its answer tells.
+    """Tell why an endpoint did not run a request or a call, according to its answer.
 
     REPLACED: another process has the address now. INPUTS_GONE: a result that the
-    request reads is not there any more. REFUSED: anything else, such as full queues.
+    request reads no longer exists. REFUSED: anything else, such as full queues.
     """
 
     REPLACED = "replaced"
@@ -123,7 +124,7 @@
         """Return why the answer may not be passed on; empty if it may."""
         if self.is_encoded:
             return "encoded body"
-        if STATUS_SUCCESS <= self.status < STATUS_NO_SUCCESS and not self.is_signed:
+        if STATUS_SUCCESS <= self.status < STATUS_SUCCESS_END and not self.is_signed:
             return "success without a signature"
         return ""
 
@@ -134,7 +135,7 @@
 
 
 class PieceOutcome(msgspec.Struct, frozen=True):
-    """Hold what became of one piece: a result, or why there is none."""
+    """Hold the outcome of one piece: a result, or why there is none."""
 
     handle: ResultHandle | None
     reason: str = ""
@@ -144,7 +145,7 @@
     """Read and write the messages between callers, entries and endpoints."""
 
     ready_path: str
-    # To a caller these say that nothing ran.
+    # Statuses that tell a caller that nothing ran.
     not_run_statuses: frozenset[int]
 
     def read_request(
@@ -159,7 +160,7 @@
         """Return the head of an endpoint's answer."""
 
     def refusal(self, retry_after_s: float | None) -> HeaderList:
-        """Return the headers of an own answer that refuses."""
+        """Return the headers of an answer by which this entry refuses a request."""
 
     def piece_call(
         self, tasks: list[PieceTask], instance: EndpointId, now: float
@@ -167,9 +168,9 @@
         """Return the call that makes pieces at an endpoint."""
 
     def read_pieces(self, body: bytes) -> Result[list[PieceOutcome], str]:
-        """Return what became of the pieces of a call, in order."""
+        """Return the outcomes of the pieces of a call, in order."""
 
     def free_call(
         self, handles: list[ResultHandle], instance: EndpointId
     ) -> OutboundRequest:
-        """Return the call that release results."""
+        """Return the call that releases results."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_deadlines.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_deadlines.py
@@ -1,7 +1,7 @@
-"""End requests at their deadlines, also those that pass while the host is suspended.
+"""End requests at their deadlines, even if these pass while the host is suspended.
 
-Owns the timeouts of the requests under way. The timers of the loop stand still during a
-suspension, so after one each timeout is set anew by the moment that it stands for.
+Owns the timeouts of the requests under way. The timers of the loop do not advance
+during a suspension, so each timeout is rescheduled for its deadline afterwards.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
     @asynccontextmanager
     async def until(self, moment: float) -> AsyncIterator[None]:
-        """Cancel what runs inside at a moment of the loop.
+        """Cancel the enclosed block at a moment of the loop's clock.
 
-        Errors: raises TimeoutError at the end of the block then.
+        Errors: raises TimeoutError at the end of the block if that moment passed.
         """
         async with asyncio.timeout_at(min(moment, self.ends_by_)) as timeout:
             self.timeouts_.add(timeout)
@@ -30,14 +30,14 @@
                 self.timeouts_.discard(timeout)
 
     def end_by(self, moment: float) -> None:
-        """Let every request end by a moment of the loop, also those yet to begin."""
+        """End every present and future request by a moment of the loop's clock."""
         self.ends_by_ = moment
         for timeout in self.timeouts_:
             if not timeout.expired() and timeout.when() > moment:
                 timeout.reschedule(moment)
 
-    def set_anew(self) -> None:
-        """Set every timer by what the clock says now."""
+    def reschedule_all(self) -> None:
+        """Reschedule every timeout according to the current time."""
         for timeout in self.timeouts_:
             if not timeout.expired():
                 timeout.reschedule(timeout.when())
--- a/packages/leadford-server/src/leadford_server/forwarding/_heads.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_heads.py
@@ -1,8 +1,8 @@
-"""Record what the head of an endpoint's answer says of the endpoint itself.
+"""Record what the head of an endpoint's answer says about the endpoint itself.
 
-Called once for each answer that is read, of requests, calls for pieces and releases
-alike, so that nothing an endpoint says is heard on one way and missed on another. What
-follows is decided in `leadford.forwarding.endpoints`.
+Called once for each answer that is read, whether to a request, a call for pieces or a
+release, so that all three take the same notice of it. `leadford.forwarding.endpoints`
+decides what follows.
 """
 
 from leadford.events import Event
@@ -14,12 +14,12 @@
 def record_head(
     state: ForwardState, record: EndpointRecord, head: AnswerHead, *, sent_at: float
 ) -> None:
-    """Record the load that an answer reports, and what it asks of this entry.
+    """Record the load and the backpressure that an answer reports.
 
-    Units: sent_at in seconds of the monotonic clock, when it was asked for.
+    Units: sent_at in seconds of the monotonic clock, when the request was sent.
     """
     if head.not_run is NotRunCause.REPLACED:
-        # Another process answers; nothing it says is about this endpoint.
+        # Another process answered, so its answer says nothing about this endpoint.
         record.record_replaced()
         return
     if head.load is not None:
@@ -34,7 +34,7 @@
         until = state.now() + head.backpressure.rest_s
         state.rests_.record_asked(record.listed.endpoint_id, until)
     if head.backpressure.is_leaving:
-        # The listing may say so much later, or never.
+        # The listing may report this much later, or never.
         state.roster_.record_leaving(record.listed.endpoint_id)
     _log_backpressure(state, record, head)
 
@@ -42,7 +42,7 @@
 def _log_backpressure(
     state: ForwardState, record: EndpointRecord, head: AnswerHead
 ) -> None:
-    """Log what is new of what an endpoint asks."""
+    """Log the backpressure of an endpoint if it changed."""
     asked = head.backpressure
     if not record.record_backpressure(asked):
         return
--- a/packages/leadford-server/src/leadford_server/forwarding/_peers.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_peers.py
@@ -1,4 +1,4 @@
-"""Say how messages of peers are handled."""
+"""Define the types of the handlers of messages from peers."""
 
 from collections.abc import Callable
 
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -1,6 +1,6 @@
 """Run an entry that forwards: its sockets, what it follows, and its planned stop.
 
-Makes the owners of state and connects them; each of them has a module of its own. The
+Creates the owners of state, each of which has its own module, and connects them. The
 program that the users' platform runs starts here.
 """
 
@@ -47,17 +47,17 @@
 )
 from leadford_server.logs import EventLog
 
-# Seconds between looks whether requests are left.
+# Time between checks for requests under way during a planned stop.
 DRAIN_POLL_S = 0.05
-# Seconds between sweeps of connections and records.
-SWEEP_S = 0.5
-# Seconds before the end of a planned stop at which requests are ended that are still
-# under way, so that their answers are written.
-LAST_ANSWERS_S = 0.4
-# Seconds between looks whether the host was suspended.
-SUSPENSION_LOOK_S = 0.25
-# Calls to the store at a time.
-STORE_CLIENTS = 12
+# Time between sweeps of connections and records.
+SWEEP_INTERVAL_S = 0.5
+# Requests still under way are ended this long before the end of a planned stop, so that
+# their answers can be written.
+FINAL_ANSWER_MARGIN_S = 0.4
+# Time between checks whether the host was suspended.
+SUSPENSION_POLL_S = 0.25
+# Concurrent calls to the store.
+MAX_STORE_CALLS = 12
 
 
 class ForwardProcess:
@@ -110,7 +110,7 @@
             on_denied=self._on_denied,
         )
         self.caller_server_.start(settings.callers.host, settings.callers.port)
-        self._listen_ready()
+        self._start_ready_server()
         await self.links_.start()
         self._follow()
         self.log_.report(
@@ -118,10 +118,10 @@
         )
 
     def _build_holders(self) -> None:
-        """Make the owners of what the store and other entries say."""
+        """Create the owners of what the store and other entries report."""
         settings = self.settings
         state = self.state_
-        http = CurlAsyncHTTPClient(force_instance=True, max_clients=STORE_CLIENTS)
+        http = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_STORE_CALLS)
         self.client_ = ObjectsClient(
             url=settings.store_url,
             http=http,
@@ -165,7 +165,7 @@
         )
         self.stages_.connect(self.links_, self.links_.pieces)
 
-    def _listen_ready(self) -> None:
+    def _start_ready_server(self) -> None:
         address = self.settings.ready
         self.ready_server_ = httpserver.HTTPServer(
             ready_application(self.codec.ready_path, lambda: self.is_ready)
@@ -176,17 +176,17 @@
             self.ready_server_.listen(metrics.port, address=metrics.host)
 
     def _follow(self) -> None:
-        """Follow the store, and keep the links to other entries up."""
+        """Start to follow the store, and to maintain the links to other entries."""
         self.followers_ = self._followers()
         for follower in self.followers_:
             self._spawn(follower.run())
         self._spawn(self.links_.run())
-        self.announcing_ = self._spawn(self.members_.announce())
+        self.announce_task_ = self._spawn(self.members_.announce())
         self._spawn(self._sweep())
         self._spawn(self._watch_suspensions())
 
     def _followers(self) -> list[KindFollower]:
-        """Return a follower for each kind of object that decides something here."""
+        """Return a follower for each kind of object that this entry uses."""
         objects = self.objects
         factory = FollowerFactory(
             client=self.client_,
@@ -199,7 +199,7 @@
             factory.relayed(
                 objects.config_kind,
                 self.config_,
-                bound_s=lambda: self.settings.bounds.known_s(
+                bound_s=lambda: self.settings.bounds.update_limit_s(
                     self.settings.bounds.config_s
                 ),
                 watch_s=lambda: factory.shared_watch_s(WATCH_S),
@@ -209,7 +209,7 @@
             factory.relayed(
                 objects.endpoints_kind,
                 self.listing_,
-                bound_s=lambda: self.settings.bounds.known_s(
+                bound_s=lambda: self.settings.bounds.update_limit_s(
                     self.settings.bounds.drain_s
                 ),
                 watch_s=lambda: factory.shared_watch_s(WATCH_S),
@@ -224,13 +224,13 @@
         ]
         evacuate_s = self.settings.bounds.evacuate_s
         if evacuate_s is not None:
-            least_s = WATCH_PART * evacuate_s
+            min_watch_s = WATCH_PART * evacuate_s
             followers.append(
                 factory.relayed(
                     objects.evacuations_kind,
                     self.halls_,
-                    bound_s=lambda: self.settings.bounds.known_s(evacuate_s),
-                    watch_s=lambda: factory.shared_watch_s(least_s),
+                    bound_s=lambda: self.settings.bounds.update_limit_s(evacuate_s),
+                    watch_s=lambda: factory.shared_watch_s(min_watch_s),
                 )
             )
         return followers
@@ -241,18 +241,18 @@
         return task
 
     def _on_config(self, config: ForwardConfig) -> None:
-        """Follow another configuration in force."""
+        """Apply a new configuration in force."""
         self.caller_server_.apply_limits(config.limits)
         self.stages_.scheduler_.wake()
 
     def _on_members(self, entries_by_id: dict[EntryId, KnownEntry]) -> None:
-        """Share the bounds of the fleet over the entries that exist."""
+        """Divide the bounds of the fleet among the entries that exist."""
         self.state_.set_entries(set(entries_by_id) | {self.settings.entry_id})
         self.links_.fleet.set_known_entries(entries_by_id)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new callers may come."""
+        """Tell whether this entry takes new callers."""
         if self.state_.table_ is None or self.is_draining_:
             return False
         if not self.state_.roster_.halls_.is_known_:
@@ -287,7 +287,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             known = self.state_.roster_.known_ids()
             self.state_.pool_.sweep(known)
             self.state_.engines_.retain(known)
@@ -297,23 +297,23 @@
             self.halls_.expire()
 
     async def _watch_suspensions(self) -> None:
-        """Doubt what was known before the host was suspended."""
+        """Check for suspensions of the host, and handle each when it is over."""
         watch = SuspensionWatch(boot=lambda: self.boot_clock(), steady=time.monotonic)
         while True:
             slept_s = watch.slept_s()
             if slept_s > 0.0:
-                self._on_woken(slept_s)
-            await asyncio.sleep(SUSPENSION_LOOK_S)
+                self._on_host_resumed(slept_s)
+            await asyncio.sleep(SUSPENSION_POLL_S)
 
-    def _on_woken(self, slept_s: float) -> None:
-        """End what is out of time, and ask the store what has changed."""
+    def _on_host_resumed(self, slept_s: float) -> None:
+        """End requests past their deadlines, and ask the store for changes."""
         self.log_.report(Event.PROCESS_WOKEN, slept_ms=round(slept_s * 1_000.0))
-        self.state_.deadlines_.set_anew()
+        self.state_.deadlines_.reschedule_all()
         for follower in self.followers_:
             follower.doubt()
 
     def settings_changed(self) -> None:
-        """Read the settings again; what cannot be read changes nothing."""
+        """Read the settings again; keep the current ones if that fails."""
         read = self.reload()
         if isinstance(read, Failure):
             self.log_.report(Event.SETTINGS_INVALID, fault=str(read.failure())[:300])
@@ -323,40 +323,41 @@
         self.log_.report(Event.SETTINGS_RELOADED, entry=self.settings.entry_id)
 
     async def drain(self) -> None:
-        """Take no new callers, end what runs, and stop within the grace period."""
+        """Take no new callers, end requests, and stop within the grace period."""
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         self.is_draining_ = True
         self.links_.is_draining_ = True
         self.state_.record_stop()
-        self.log_.report(Event.PROCESS_DRAINING, live=self._live())
+        self.log_.report(Event.PROCESS_DRAINING, live=self._live_count())
         ends_at = stop_ends_at(began_at, self.settings.bounds.grace_s)
-        # What has no answer by then would be cut without one, also what never left.
-        self.state_.deadlines_.end_by(ends_at - LAST_ANSWERS_S)
-        await self._idle(began_at, ends_at)
-        # It could write the entry anew after its removal.
-        self.announcing_.cancel()
+        # Otherwise the stop would cut off requests without an answer, including those
+        # that were never sent to an endpoint.
+        self.state_.deadlines_.end_by(ends_at - FINAL_ANSWER_MARGIN_S)
+        await self._wait_until_idle(began_at, ends_at)
+        # The task could announce the entry again after its removal.
+        self.announce_task_.cancel()
         await self.members_.retract()
-        # Requests were taken while the store answered. Between the last look at them
-        # and the end nothing may wait, or one that reached an endpoint is cut.
-        await self._idle(began_at, ends_at)
-        self.log_.report(Event.PROCESS_STOPPED, live=self._live())
+        # Requests may have arrived while the store answered. Nothing may wait between
+        # the last check and the stop, or a request at an endpoint could be cut off.
+        await self._wait_until_idle(began_at, ends_at)
+        self.log_.report(Event.PROCESS_STOPPED, live=self._live_count())
         self.stop()
 
-    async def _idle(self, began_at: float, ends_at: float) -> None:
-        """Wait until nothing runs that a stop would cut, or the stop must end."""
+    async def _wait_until_idle(self, began_at: float, ends_at: float) -> None:
+        """Wait until a stop would cut off no request, or until the stop must end."""
         loop = asyncio.get_running_loop()
         while loop.time() < ends_at:
-            if may_stop(loop.time() - began_at, self._live()):
+            if may_stop(loop.time() - began_at, self._live_count()):
                 return
             await asyncio.sleep(DRAIN_POLL_S)
 
-    def _live(self) -> int:
-        """Return how many requests, and calls for pieces of any entry, are not over."""
+    def _live_count(self) -> int:
+        """Return how many requests and calls for pieces of any entry are under way."""
         return self.caller_server_.live + self.stages_.scheduler_.calls_under_way
 
     def stop(self) -> None:
-        """Stop at once, whatever runs."""
+        """Stop at once, even if requests are under way."""
         self.caller_server_.stop()
         self.ready_server_.stop()
         for task in self.tasks_:
--- a/packages/leadford-server/src/leadford_server/forwarding/_progress.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_progress.py
@@ -1,7 +1,7 @@
-"""Hold how far one request has come, and log how it ended.
+"""Hold the progress of one request, and log how it ended.
 
-Owned by the request forwarder, which alone writes it; the attempts and the event relay
-of the same request read and write the fields named for them. Nothing here decides.
+Owned by the request forwarder, which writes it, except for the fields marked as written
+by the attempts or the event relay of the same request. Decides nothing.
 """
 
 from collections.abc import Sequence
@@ -18,16 +18,16 @@
 from leadford_server.logs import EventLog
 from leadford_server.metrics import FORWARD_SECONDS, FORWARDED_TOTAL
 
-# Characters of a free text that a log line holds, so that its length stays bounded.
-DETAIL_LOGGED = 160
-# Seconds. An expected time without an end (no endpoint) is logged as this.
+# Bounds the free text in a log line.
+MAX_DETAIL_CHARACTERS = 160
+# Logged if the expected time is infinite, because there is no endpoint.
 EXPECTED_LOGGED_MAX_S = 1e6
-# Logged in place of a moment that never came.
+# Logged for a moment that did not occur.
 NEVER_MS = -1
 
 
 class RequestEnd(msgspec.Struct, frozen=True):
-    """Say how a request ended; status is 0 where no whole answer was written."""
+    """Describe how a request ended; status is 0 if no whole answer was written."""
 
     outcome: RequestOutcome = RequestOutcome.FAILED
     reason: EndReason = EndReason.FAULT
@@ -65,7 +65,7 @@
         self.longest_pause_s_ = 0.0
 
     def record_match(self, match: RouteMatch) -> None:
-        """Record which route was found, and what work the request is."""
+        """Record the route that was found, and the digest of the request."""
         self.match_ = match
         request = self.request
         content = RequestContent(
@@ -78,14 +78,14 @@
         self.digest_ = content.digest()
 
     def record_event_passed_on(self, now: float) -> None:
-        """Record that the caller was sent an event; the longest pause is logged."""
+        """Record that an event was sent to the caller, for the longest pause."""
         if self.last_event_at_ is not None:
             pause_s = now - self.last_event_at_
             self.longest_pause_s_ = max(self.longest_pause_s_, pause_s)
         self.last_event_at_ = now
 
     def end_without_caller(self) -> None:
-        """Record that the caller left, whatever else had happened."""
+        """Record that the caller left, whatever else was recorded before."""
         self.end_ = msgspec.structs.replace(
             self.end_,
             outcome=RequestOutcome.CALLER_GONE,
@@ -122,22 +122,22 @@
         outcome=end.outcome.value,
         reason=end.reason.value,
         retry=retry_reason.value if retry_reason is not None else "",
-        detail=end.detail[:DETAIL_LOGGED],
+        detail=end.detail[:MAX_DETAIL_CHARACTERS],
         expected_ms=round(expected_s * 1_000.0),
         caller_ms=request.deadline_ms or 0.0,
         pause_ms=round(progress.longest_pause_s_ * 1_000.0),
-        stages_ms=_ms(stages_done_at, request.received_at),
-        first_ms=_ms(first, request.received_at),
-        took_ms=_ms(now, request.received_at),
+        stages_ms=_elapsed_ms(stages_done_at, request.received_at),
+        first_ms=_elapsed_ms(first, request.received_at),
+        took_ms=_elapsed_ms(now, request.received_at),
     )
 
 
 def _match_fields(
     match: RouteMatch | None, counts: Sequence[int] | None
 ) -> dict[str, str | int | float]:
-    """Return what a log line says of the route that was found; the same names if none.
+    """Return the log fields for the route that was found; the same names if none.
 
-    `work` tells how many pieces the stages ask of each service.
+    `work` is the number of pieces that the stages need of each service.
     """
     return {
         "route": match.route.route_id if match else "",
@@ -145,16 +145,16 @@
         "workspace": (match.workspace_id or "") if match else "",
         "aim_ms": match.route.aim_ms if match else 0.0,
         "gap_aim_ms": match.route.gap_aim_ms if match else 0.0,
-        "work": _work(match.route, counts) if match else "",
+        "work": _piece_counts(match.route, counts) if match else "",
     }
 
 
-def _ms(moment: float | None, since: float) -> int:
+def _elapsed_ms(moment: float | None, since: float) -> int:
     return NEVER_MS if moment is None else round((moment - since) * 1_000.0)
 
 
-def _work(route: Route, counts: Sequence[int] | None) -> str:
-    """Return how many pieces the stages of a request ask of each service."""
+def _piece_counts(route: Route, counts: Sequence[int] | None) -> str:
+    """Return how many pieces the stages of a request need of each service."""
     pieces_by_service: dict[ServiceId, int] = {}
     for stage, count in zip(route.stages, counts or (), strict=False):
         known = pieces_by_service.get(stage.service_id, 0)
--- a/packages/leadford-server/src/leadford_server/forwarding/_ready.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_ready.py
@@ -1,7 +1,7 @@
-"""Answer the question whether an entry takes new callers.
+"""Serve the readiness check, which tells whether an entry takes new callers.
 
-What decides it is passed in; the platform sends new callers elsewhere while the answer
-is no.
+The condition is passed in. The platform sends new callers elsewhere while the answer is
+no.
 """
 
 from collections.abc import Callable
@@ -15,19 +15,19 @@
 
 
 class ReadyHandler(web.RequestHandler):
-    """Say whether this entry takes new callers."""
+    """Tell whether this entry takes new callers."""
 
     def initialize(self, is_ready: Callable[[], bool]) -> None:
         self.is_ready = is_ready
 
     def get(self) -> None:
-        """Answer by status; the body says nothing."""
+        """Answer by status; the body is empty."""
         self.set_status(STATUS_READY if self.is_ready() else STATUS_NOT_READY)
         self.finish()
 
 
 def ready_application(path: str, is_ready: Callable[[], bool]) -> web.Application:
-    """Return what answers that question at a path, and serves the metrics."""
+    """Return an application that serves the readiness check and the metrics."""
     return web.Application(
         [(path, ReadyHandler, {"is_ready": is_ready}), ("/metrics", MetricsHandler)],
         log_function=lambda handler: None,
--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -1,8 +1,8 @@
 """Hold what one entry knows for forwarding: configuration, endpoints, budgets.
 
-Shared by all requests of an entry. Each field is an owner of its state, or is written
-by one module: the table and its age by `_config`, the versions heard of by `_news`, the
-roster by `_listing`, the count of entries, the bounds and the begin of a stop by
+Shared by all requests of an entry. Each field owns its state, or is written by one
+module: the route table and its age by `_config`, the versions heard of by `_news`, the
+roster by `_listing`, the number of entries, the bounds and the start of a stop by
 `_process`.
 """
 
@@ -42,10 +42,10 @@
 class ForwardBounds(msgspec.Struct, frozen=True):
     """Hold the bounds that the deployment sets.
 
-    `evacuate_s` is None where the operator evacuates no halls; then nothing asks for
-    evacuations. `resync_s` is the time after trouble with the store within which an
-    entry has to know what the store accepted meanwhile, `heartbeat_s` the time between
-    two records of an endpoint.
+    `evacuate_s` is None if the operator evacuates no halls; then evacuations are not
+    followed. `resync_s` is the time after a failure of the store within which an entry
+    must know what the store accepted meanwhile. `heartbeat_s` is the time between two
+    records of an endpoint.
 
     Units: seconds, except that the ratio and the slack count requests.
     """
@@ -60,8 +60,8 @@
     evacuate_s: float | None = None
     heartbeat_s: float = 1.2
 
-    def known_s(self, bound_s: float) -> float:
-        """Return within which time news are known whose effect has a bound.
+    def update_limit_s(self, bound_s: float) -> float:
+        """Return the time within which a change whose effect has a bound is known.
 
         Units: seconds.
         """
@@ -71,7 +71,7 @@
 class PlacedEngine(msgspec.Struct, frozen=True, eq=False):
     """Hold an engine that another entry chose for a prompt.
 
-    `tell_read` tells that entry that the prompt does not wait there any more.
+    `tell_read` tells that entry that the prompt no longer waits at the engine.
     """
 
     record: EndpointRecord
@@ -79,13 +79,13 @@
 
 
 class Placing(Protocol):
-    """Ask the entry that places the prompts of all."""
+    """Ask the entry that places the prompts of all entries."""
 
     def takes(self, service: Service) -> bool:
-        """Tell whether one entry chooses the endpoints of a service for all."""
+        """Tell whether one entry chooses endpoints of a service for all entries."""
 
     def knows_all(self, service_id: ServiceId, prompt: PromptShape) -> bool:
-        """Tell whether this entry places the prompts of all."""
+        """Tell whether this entry places the prompts of all entries."""
 
     async def place(
         self,
@@ -95,7 +95,7 @@
         excluded: Collection[EndpointId],
         bytes_by_hall: dict[HallId, int],
     ) -> PlacedEngine | None:
-        """Return the engine that the placing entry chose; None if it said none."""
+        """Return the engine that the placing entry chose; None if it named none."""
 
 
 class ForwardState:
@@ -142,7 +142,7 @@
         self.config_seen_at_: float | None = None
         self.heard_versions_ = HeardVersions()
         self.stop_began_at_: float | None = None
-        # Written by the links once they are made.
+        # Set by the links when they are created.
         self.placing_: Placing | None = None
 
     def now(self) -> float:
@@ -161,27 +161,27 @@
         return self.roster_.is_usable(record, self.now())
 
     def hold_s(self, record: EndpointRecord) -> float:
-        """Return in how many seconds an endpoint wants another request of this entry.
+        """Return in how many seconds this entry may send an endpoint another request.
 
-        0 where it may get one now. Call `record_sent` for each that is sent.
+        0 if it may send one now. Call `record_sent` for each request that is sent.
         """
-        if not self._is_any_held:
+        if not self._is_any_throttled:
             return 0.0
         listed = record.listed
         now = self.now()
         limit_s = self.limits_.wait_s(
             listed.endpoint_id,
             now,
-            is_alone=self._is_called_by_one(listed.service_id),
+            is_alone=self._is_called_by_one_entry(listed.service_id),
         )
         return max(limit_s, self.rests_.left_s(listed.endpoint_id, now))
 
     def service_hold_s(self, service_id: ServiceId) -> float:
-        """Return in how many seconds any endpoint of a service wants a request.
+        """Return in how many seconds any endpoint of a service may get a request.
 
-        0 where one may get a request now, and where none is usable.
+        0 if one may get a request now, or if none is usable.
         """
-        if not self._is_any_held:
+        if not self._is_any_throttled:
             return 0.0
         return min(map(self.hold_s, self.usable(service_id)), default=0.0)
 
@@ -191,21 +191,24 @@
         self.limits_.record_sent(
             listed.endpoint_id,
             self.now(),
-            is_alone=self._is_called_by_one(listed.service_id),
+            is_alone=self._is_called_by_one_entry(listed.service_id),
         )
 
     @property
-    def _is_any_held(self) -> bool:
-        """Tell whether any endpoint asked for less: each request asks that of many."""
+    def _is_any_throttled(self) -> bool:
+        """Tell whether any endpoint asked for fewer requests.
+
+        Saves the check of many endpoints for each request.
+        """
         return bool(self.limits_.known_by_id_ or self.rests_.until_by_id_)
 
-    def _is_called_by_one(self, service_id: ServiceId) -> bool:
+    def _is_called_by_one_entry(self, service_id: ServiceId) -> bool:
         """Tell whether one entry makes all calls of a service: a batched stage."""
         service = self.service(service_id)
         return service is not None and service.pieces is not None
 
     def service(self, service_id: ServiceId) -> Service | None:
-        """Return what the configuration in force says of a service."""
+        """Return a service from the configuration in force, None if not there."""
         table = self.table_
         return table.config.services_by_id.get(service_id) if table else None
 
@@ -218,7 +221,7 @@
         self.stop_began_at_ = self.now()
 
     def age(self) -> ProcessAge:
-        """Return how old the configuration is, and how far a planned stop has come."""
+        """Return the age of the configuration, and how long a planned stop has run."""
         now = self.now()
         seen_at = self.config_seen_at_
         stop_began_at = self.stop_began_at_
@@ -231,7 +234,7 @@
         )
 
     def set_entries(self, entry_ids: Collection[EntryId]) -> None:
-        """Split the bounds of the fleet over the entries that exist."""
+        """Divide the bounds of the fleet among the entries that exist."""
         count = max(1, len(entry_ids))
         self.pool_.entry_count_ = count
         self.budgets_.set_entry_count(count)
--- a/packages/leadford-server/src/leadford_server/forwarding/_store_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_store_contract.py
@@ -1,7 +1,7 @@
-"""Say what following the store needs from an adapter to a platform's wire.
+"""Define what following the store needs from an adapter to a platform's wire format.
 
-An adapter turns names and formats of the store into these messages and back. It decides
-nothing.
+An adapter translates names and formats of the store into these messages and back. It
+decides nothing.
 """
 
 from collections.abc import Mapping
@@ -18,9 +18,9 @@
 
 
 class ObjectList(msgspec.Struct, frozen=True):
-    """Hold one page of objects and the revision of the store it was made at.
+    """Hold one page of objects and the revision of the store that it shows.
 
-    `faults` say what was wrong with objects that are left out.
+    `faults` describe what was wrong with objects that are left out.
     """
 
     items: list[dict]
@@ -47,14 +47,14 @@
 
     @property
     def seen_at(self) -> StorePosition:
-        """Return the position of the answer that told it."""
+        """Return the store position of the answer that reported the change."""
         return StorePosition(self.epoch, self.seen_revision)
 
 
 class ObjectEvents(msgspec.Struct, frozen=True):
-    """Hold what a watch saw, and from where to go on.
+    """Hold the changes that a watch saw, and the position to continue from.
 
-    `faults` say what was wrong with changes that are left out.
+    `faults` describe what was wrong with changes that are left out.
     """
 
     events: list[ObjectEvent]
@@ -64,31 +64,30 @@
 
     @property
     def position(self) -> StorePosition:
-        """Return from where to go on."""
+        """Return the position to continue from."""
         return StorePosition(self.epoch, self.revision)
 
     def in_epoch(self, epoch: StoreEpoch) -> "ObjectEvents":
-        """Return the same, seen in an epoch of the store."""
+        """Return a copy in which the changes belong to an epoch of the store."""
         replace = msgspec.structs.replace
         events = [replace(event, epoch=epoch) for event in self.events]
         return replace(self, events=events, epoch=epoch)
 
 
 class StoreAnswer(msgspec.Struct, frozen=True):
-    """Hold the body of a good answer of the store, and its epoch."""
+    """Hold the body of a successful answer of the store, and its epoch."""
 
     body: bytes
     epoch: StoreEpoch
 
 
 class StoreFailure(Enum):
-    """Say why a call to the store did nothing, or may have done nothing.
+    """Tell why a call to the store had no effect, or may have had none.
 
-    CONFLICT: the object is there already. HISTORY_GONE: changes since the revision
-    asked for are not kept any more. NO_ANSWER: none came in time, and what was asked
-    may have been done. NOT_FOUND: there is no such object. PAST_EPOCH: the answer
-    belongs to a history of the store that is over. UNAVAILABLE: the store turned the
-    call away.
+    CONFLICT: the object exists already. HISTORY_GONE: changes since the requested
+    revision are no longer kept. NO_ANSWER: none arrived in time, and the call may have
+    taken effect. NOT_FOUND: there is no such object. PAST_EPOCH: the answer belongs to
+    a history of the store that has ended. UNAVAILABLE: the store refused the call.
     """
 
     CONFLICT = "conflict"
@@ -120,19 +119,19 @@
         """Return the path of one object."""
 
     def read_failure(self, status: int) -> StoreFailure:
-        """Return what the status of a failed call says."""
+        """Return the failure that the status of a failed call stands for."""
 
     def read_epoch(self, headers: Mapping[str, str]) -> StoreEpoch | None:
-        """Return the epoch of an answer; None where it tells none."""
+        """Return the epoch of an answer; None if it states none."""
 
     def read_list(self, body: bytes) -> Result[ObjectList, str]:
         """Return a page of objects."""
 
     def read_events(self, body: bytes) -> Result[ObjectEvents, str]:
-        """Return what a watch saw."""
+        """Return the changes that a watch saw."""
 
     def read_object(self, item: object) -> Result[dict, str]:
-        """Return an object, or its bytes, of which name and revision can be read."""
+        """Return an object, or its bytes, if its name and revision can be read."""
 
     def read_config(self, item: dict) -> Result[ForwardConfig, str]:
         """Return the configuration in an object."""
--- a/packages/leadford-server/src/leadford_server/forwarding/tests/test_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What an entry holds follows from the bounds of its deployment."""
+"""The state of an entry follows the bounds of its deployment."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 class Clock:
-    """Stand in for the event loop, of which only the clock is asked."""
+    """Replace the event loop, of which only the clock is used."""
 
     def __init__(self, now):
         self.now = now
@@ -42,12 +42,12 @@
 def test_a_service_that_a_store_forgot_is_used_until_its_entries_are_back(
     drain_s, used_s, gone_s
 ):
-    """Symptom: a service had no endpoint though all of them worked.
+    """Guard against a service without endpoints although all of them work.
 
-    Sequence: the store is away and removes a whole service; each endpoint has its
-    entry back within two seconds, the only one of its service after 1.9 s. Cause: with
-    an allowance of 3 s removed endpoints were used for 1.65 s; with 4 s for 2.2 s,
-    though one that is not back by then is gone.
+    The store is unavailable and then removes a whole service. Each endpoint is listed
+    again within two seconds, the only one of its service after 1.9 s. With a `drain_s`
+    of 3 s removed endpoints were used for only 1.65 s; with 4 s for 2.2 s, although an
+    endpoint that is not listed again by then is gone.
     """
     clock = Clock(10.0)
     state = new_state(clock, ForwardBounds(drain_s=drain_s))
