--- a/packages/leadford-server/src/leadford_server/forwarding/_heads.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_heads.py
@@ -1,8 +1,8 @@
 """Record what the head of an endpoint's answer says about the endpoint itself.
 
 Called once for each answer that is read, whether to a request, a call for pieces or a
-release, so that all three take the same notice of it. `leadford.forwarding.endpoints`
-decides what follows.
+release, so that what an endpoint says is recorded alike for all three.
+`leadford.forwarding.endpoints` decides what follows.
 """
 
 from leadford.events import Event
--- a/packages/leadford-server/src/leadford_server/forwarding/_ready.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_ready.py
@@ -27,7 +27,7 @@
 
 
 def ready_application(path: str, is_ready: Callable[[], bool]) -> web.Application:
-    """Return an application that serves the readiness check and the metrics."""
+    """Return an application with the readiness check at a path, and the metrics."""
     return web.Application(
         [(path, ReadyHandler, {"is_ready": is_ready}), ("/metrics", MetricsHandler)],
         log_function=lambda handler: None,
--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -208,7 +208,7 @@
         return service is not None and service.pieces is not None
 
     def service(self, service_id: ServiceId) -> Service | None:
-        """Return a service from the configuration in force, None if not there."""
+        """Return a service of the configuration in force; None if it is not there."""
         table = self.table_
         return table.config.services_by_id.get(service_id) if table else None
 
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
@@ -57,24 +57,27 @@
         halls if a piece is made there.
         """
         counts: dict[GroupId, int] = {}
-        near: dict[GroupId, int] = {}
+        near_bytes_by_group: dict[GroupId, int] = {}
         for record in self.state.usable(stage.service_id):
             if record.listed.endpoint_id in excluded or record.is_suspect(now):
                 continue
             group = self.state.groups_.group(stage.service_id, record.listed.hall)
             counts[group] = counts.get(group, 0) + 1
             near_bytes = near_bytes_by_hall.get(record.listed.hall, 0)
-            near[group] = max(near.get(group, 0), near_bytes)
+            near_bytes_by_group[group] = max(
+                near_bytes_by_group.get(group, 0), near_bytes
+            )
         if not counts:
             counts = self.state.groups_.usable_by_group(stage.service_id, now)
         self._refresh_own_loads(counts)
-        most = max(near_bytes_by_hall.values(), default=0)
+        max_near_bytes = max(near_bytes_by_hall.values(), default=0)
         return self.loads_.choose(
             counts,
             limits,
             result_bytes=stage.result_bytes,
             moved_bytes_by_group={
-                group: (most - near.get(group, 0)) * pieces for group in counts
+                group: (max_near_bytes - near_bytes_by_group.get(group, 0)) * pieces
+                for group in counts
             },
             now=now,
         )
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
@@ -137,7 +137,7 @@
         self.releaser.release(endpoint_id, handles)
 
     def wake(self) -> None:
-        """Check again whether calls can be sent, after the listing has changed."""
+        """Check again for calls to send after endpoints or configuration changed."""
         self.capacities_.retain(self.state.roster_.known_ids())
         for group in list(self.queues_by_group_):
             self._dispatch(group)
