--- a/packages/leadford-server/src/leadford_server/quarantine/__init__.py
+++ b/packages/leadford-server/src/leadford_server/quarantine/__init__.py
@@ -1,6 +1,6 @@
-"""Hold what one process knows of requests that end their endpoints.
+"""Track which requests crash their endpoints, for one process.
 
-The rules stand in `leadford.quarantine`.
+The rules are in `leadford.quarantine`.
 """
 
 from leadford_server.quarantine._requests import RequestQuarantine
--- a/packages/leadford-server/src/leadford_server/quarantine/_requests.py
+++ b/packages/leadford-server/src/leadford_server/quarantine/_requests.py
@@ -1,9 +1,9 @@
-"""Record under which requests endpoints ended, and say whether one may run.
+"""Record which requests ran when endpoints crashed, and decide whether one may run.
 
-Owns the ledger of one process, its log lines and metrics. What is recorded here goes to
-`on_news`, so that other processes learn it; what they tell comes to `learn`, which
-returns what was news, so that it can be passed on. Which cases count and what follows
-is decided in `leadford.quarantine`.
+Owns the ledger of one process, its log lines and metrics. Local observations go to
+`on_news`, which sends them to other processes. News from other processes comes to
+`learn`, which returns the part that was new, so that it can be passed on.
+`leadford.quarantine` decides which cases count and what follows from them.
 """
 
 from collections.abc import Callable
@@ -25,15 +25,15 @@
 from leadford_server.metrics import CRASH_CASES_TOTAL, QUARANTINED_WORKS
 
 CASE_ID_BITS = 63
-# What the metric says of who saw a case.
+# Values of the metric label that says who observed a case.
 SEEN_HERE = "here"
 SEEN_BY_PEER = "peer"
 
 
 class RequestQuarantine:
-    """Say whether requests may run, by the endpoints that ended under them.
+    """Decide whether requests may run, given the endpoints that crashed under them.
 
-    Units: `now` returns seconds of the clock that all moments here are of.
+    Units: `now` returns seconds; all times here are on its clock.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.now = now
         self.random = random
         self.log = log
-        self.on_news: Callable[[CrashNews], None] = _tell_nobody
+        self.on_news: Callable[[CrashNews], None] = _discard_news
         self.ledger_ = CrashLedger()
         self.quarantined_: set[RequestDigest] = set()
 
@@ -51,45 +51,47 @@
         return decide_quarantine(self.ledger_.suspicion(digest), self.now())
 
     def is_suspect(self, digest: RequestDigest) -> bool:
-        """Tell whether a request runs apart from others under suspicion."""
+        """Return whether a request runs apart from other suspected requests."""
         return self.verdict(digest).action is QuarantineAction.RUN_APART
 
     def record_lost(
         self, digest: RequestDigest, endpoint_id: EndpointId, *, is_under_way: bool
     ) -> None:
-        """Record that an endpoint closed a connection under a request."""
-        if self.ledger_.holds(digest, endpoint_id, is_under_way=is_under_way):
+        """Record that an endpoint closed a connection while it ran a request."""
+        if self.ledger_.has_case(digest, endpoint_id, is_under_way=is_under_way):
             return
         case_id = CaseId(self.random.getrandbits(CASE_ID_BITS))
         case = CrashCase(case_id, digest, endpoint_id, is_under_way)
         self.ledger_.record(case, self.now())
         CRASH_CASES_TOTAL.labels(seen=SEEN_HERE).inc()
-        self._follow_up()
-        self.on_news(CrashNews(cases=[_report(case)]))
+        self._log_changes()
+        self.on_news(CrashNews(cases=[_report_from_case(case)]))
 
     def record_alive(self, endpoint_id: EndpointId, sent_at: float) -> None:
-        """Record that an endpoint answered what was sent at a moment."""
+        """Record that an endpoint answered a request that was sent at `sent_at`."""
         if self.ledger_.record_alive(endpoint_id, sent_at):
-            self._follow_up()
+            self._log_changes()
             self.on_news(CrashNews(alive=[endpoint_id]))
 
     def record_answered(self, digest: RequestDigest) -> None:
-        """Record that a request was answered whole."""
+        """Record that a request was answered completely."""
         if self.ledger_.clear(digest):
-            self._follow_up()
+            self._log_changes()
             self.on_news(CrashNews(answered=[digest]))
 
     def learn(self, news: CrashNews) -> CrashNews | None:
-        """Record what another process tells; return what of it was news."""
+        """Record news from another process; return the part that was new, or None."""
         now = self.now()
         cases = [
-            report for report in news.cases if self.ledger_.record(_case(report), now)
+            report
+            for report in news.cases
+            if self.ledger_.record(_case_from_report(report), now)
         ]
         CRASH_CASES_TOTAL.labels(seen=SEEN_BY_PEER).inc(len(cases))
         alive = [
             endpoint_id
             for endpoint_id in news.alive
-            if self.ledger_.take_back_endpoint(EndpointId(endpoint_id))
+            if self.ledger_.retract_endpoint(EndpointId(endpoint_id))
         ]
         answered = [
             digest
@@ -98,20 +100,23 @@
         ]
         if not (cases or alive or answered):
             return None
-        self._follow_up()
+        self._log_changes()
         return CrashNews(cases, alive, answered)
 
     def known(self) -> CrashNews | None:
-        """Return what a new peer should know, None if there is nothing."""
-        cases = [_report(case) for case in self.ledger_.told(self.now())]
+        """Return the news to send to a new peer, None if there is none."""
+        cases = [
+            _report_from_case(case)
+            for case in self.ledger_.cases_for_new_peer(self.now())
+        ]
         return CrashNews(cases=cases) if cases else None
 
-    def _follow_up(self) -> None:
-        """Log which requests are run no more, and which may run again."""
-        found = self.ledger_.quarantined_
-        if found == self.quarantined_:
+    def _log_changes(self) -> None:
+        """Log which requests became quarantined and which may run again."""
+        current = self.ledger_.quarantined_
+        if current == self.quarantined_:
             return
-        for digest in found - self.quarantined_:
+        for digest in current - self.quarantined_:
             suspicion = self.ledger_.suspicion(digest)
             self.log.report(
                 Event.REQUEST_QUARANTINED,
@@ -119,17 +124,17 @@
                 ends=suspicion.ends,
                 endpoints=",".join(suspicion.endpoint_ids),
             )
-        for digest in self.quarantined_ - found:
+        for digest in self.quarantined_ - current:
             self.log.report(Event.QUARANTINE_ENDED, digest=digest)
-        self.quarantined_ = set(found)
-        QUARANTINED_WORKS.set(len(found))
+        self.quarantined_ = set(current)
+        QUARANTINED_WORKS.set(len(current))
 
 
-def _tell_nobody(news: CrashNews) -> None:
-    """Stand for peers until there are links."""
+def _discard_news(news: CrashNews) -> None:
+    """Do nothing; the default until `on_news` is set."""
 
 
-def _report(case: CrashCase) -> CrashReport:
+def _report_from_case(case: CrashCase) -> CrashReport:
     return CrashReport(
         case.case_id,
         case.digest,
@@ -139,7 +144,7 @@
     )
 
 
-def _case(report: CrashReport) -> CrashCase:
+def _case_from_report(report: CrashReport) -> CrashCase:
     return CrashCase(
         CaseId(report.case_id),
         RequestDigest(report.digest),
--- a/packages/leadford/src/leadford/quarantine/__init__.py
+++ b/packages/leadford/src/leadford/quarantine/__init__.py
@@ -1,8 +1,8 @@
-"""Keep requests from endpoints that end whoever runs them.
+"""Quarantine requests that crash the endpoints that run them.
 
-`_digest` tells whether two requests are the same work, `_ledger` under which work
-endpoints ended, `_decision` what follows for its next attempt, and `_apart` where one
-under suspicion runs. Shared by both programs.
+`_digest` identifies requests with the same content, `_ledger` records which of them
+were running when an endpoint crashed, `_decision` decides whether the next attempt may
+run, and `_apart` chooses the endpoint for a suspected request. Shared by both programs.
 """
 
 from leadford.quarantine._apart import choose_apart
--- a/packages/leadford/src/leadford/quarantine/_apart.py
+++ b/packages/leadford/src/leadford/quarantine/_apart.py
@@ -1,10 +1,11 @@
-"""Choose where a request under suspicion runs: apart from others under suspicion.
+"""Choose the endpoint for a suspected request, apart from other suspected requests.
 
-Choosers send a request that lost its endpoint where they send the next one like it, by
-load, hall and prompt. So innocents would follow the request that took them along, and
-be taken along again. Chance parts them, most of all where other endpoints run no
-request under suspicion: of 99,643 innocents at six endpoints 17 lose all their
-attempts, and 208 where the usual choice sends them (`test_innocents`, four seeds).
+The usual choosers select by load, hall and prompt, so they send similar requests to the
+same endpoint after a crash. Harmless requests would follow the request that crashed
+their endpoint, and lose the next endpoint to it as well. A random choice separates
+them, most of all where other endpoints run no suspected request: of 99,643 harmless
+requests at six endpoints 17 lose all their attempts, and 208 with the usual choice
+(`test_innocents`, four seeds).
 """
 
 from collections.abc import Mapping
@@ -16,9 +17,10 @@
 def choose_apart(
     suspects_by_endpoint: Mapping[EndpointId, int], random: Random
 ) -> EndpointId | None:
-    """Return one of the endpoints with the fewest requests under suspicion, by chance.
+    """Return a random one of the endpoints with the fewest suspected requests.
 
-    `suspects_by_endpoint` holds every endpoint that may be chosen.
+    `suspects_by_endpoint` maps each eligible endpoint to its number of suspected
+    requests.
     """
     if not suspects_by_endpoint:
         return None
--- a/packages/leadford/src/leadford/quarantine/_decision.py
+++ b/packages/leadford/src/leadford/quarantine/_decision.py
@@ -1,30 +1,30 @@
-"""Decide whether a request may run, by the endpoints that ended under it.
+"""Decide whether a request may run, given the endpoints that crashed while running it.
 
-The load pattern: callers send one request again and again, at any entry, and each
-endpoint that begins to run it ends, together with all that runs beside it. Bounds on
-attempts and retry budgets count one request or one service, so they stop innocents and
-not this one.
+This guards against the following load pattern: callers send one request repeatedly, to
+any entry, and each endpoint that starts to run it crashes together with everything
+else that it runs. Limits on attempts and retry budgets count a single request or a
+single service, so they stop harmless requests instead of this one.
 
-Asked before a request is admitted and before each of its attempts, by both programs.
-What counts as an end under a request, and what takes it back, is left to `_ledger`;
-where a request under suspicion runs, to `_apart`.
+Both programs ask before they admit a request and before each of its attempts. `_ledger`
+decides what counts as a crash under a request and when that is retracted; `_apart`
+decides where a suspected request runs.
 """
 
 from enum import Enum
 
 import msgspec
 
-from leadford.quarantine._ledger import ENDS_MOST, Suspicion
+from leadford.quarantine._ledger import MIN_QUARANTINE_ENDS, Suspicion
 
-# Ends from which a request runs apart from others under suspicion.
-ENDS_SUSPECT = 1.0
-# Seconds after the last end for which a request is not run. Then one attempt shows
-# whether it still ends its endpoint.
+# Weighted crashes from which a request runs apart from other suspected requests.
+MIN_SUSPECT_ENDS = 1.0
+# Seconds after the last crash for which a request is refused. Then one attempt shows
+# whether it still crashes its endpoint.
 QUARANTINE_S = 600.0
 
 
 class QuarantineAction(Enum):
-    """Say how a request may run; the values stand in logs."""
+    """List the ways in which a request may run; the values appear in logs."""
 
     RUN = "run"
     RUN_APART = "run-apart"
@@ -32,7 +32,7 @@
 
 
 class QuarantineVerdict(msgspec.Struct, frozen=True):
-    """Say how a request may run, and in which time it may be tried again.
+    """Hold how a request may run, and after what time it may be retried.
 
     Units: retry_after_s in seconds; 0 unless the action is REFUSE.
     """
@@ -42,7 +42,7 @@
 
     @property
     def refuses(self) -> bool:
-        """Tell whether the request goes to no endpoint."""
+        """Return whether the request must not be sent to any endpoint."""
         return self.action is QuarantineAction.REFUSE
 
 
@@ -51,13 +51,13 @@
 
 
 def decide_quarantine(suspicion: Suspicion | None, now: float) -> QuarantineVerdict:
-    """Return how a request may run; None stands for no suspicion.
+    """Return how a request may run; None means that there is no suspicion.
 
-    Units: now in seconds of the clock that the suspicion was recorded by.
+    Units: now in seconds, on the clock that timestamps the suspicion.
     """
-    if suspicion is None or suspicion.ends < ENDS_SUSPECT:
+    if suspicion is None or suspicion.ends < MIN_SUSPECT_ENDS:
         return _RUN
     left_s = suspicion.last_at + QUARANTINE_S - now
-    if suspicion.ends < ENDS_MOST or left_s <= 0.0:
+    if suspicion.ends < MIN_QUARANTINE_ENDS or left_s <= 0.0:
         return _RUN_APART
     return QuarantineVerdict(QuarantineAction.REFUSE, left_s)
--- a/packages/leadford/src/leadford/quarantine/_digest.py
+++ b/packages/leadford/src/leadford/quarantine/_digest.py
@@ -1,8 +1,8 @@
-"""Tell whether two requests are the same work.
+"""Identify requests with the same content by a digest.
 
-A caller that sends a request anew gives it another id, at any entry and over any
-connection; what it asks for stays. The same body of another workspace or path is other
-work.
+A caller that repeats a request may send it with another id, to any entry and over any
+connection, but the content stays the same. The same body from another workspace or to
+another path is a different request.
 """
 
 from hashlib import blake2b
@@ -12,20 +12,20 @@
 
 RequestDigest = NewType("RequestDigest", str)
 
-# Of a request whose route is not known yet.
+# Stands for the digest of a request whose route is not known yet.
 NO_DIGEST = RequestDigest("")
 
-# Bytes of a digest: of 100,000 requests two different ones have the same digest with a
-# chance of 3e-10.
+# With 8 bytes, the probability that two of 100,000 different requests have the same
+# digest is 3e-10.
 DIGEST_BYTES = 8
-# Separates fields that may hold any length.
+# Each field is prefixed with its length, because fields vary in length.
 _LENGTH_BYTES = 4
 
 
 class RequestContent(msgspec.Struct, frozen=True):
-    """Hold what makes a request the work that it is.
+    """Hold the parts of a request that identify its content.
 
-    `workspace` is empty where the route asks for no key.
+    `workspace` is empty where the route requires no API key.
     """
 
     method: str
@@ -35,11 +35,11 @@
     body: bytes
 
     def digest(self) -> RequestDigest:
-        """Return the digest; 17 us for a body of 18 kB (mean of 1,000 calls)."""
-        found = blake2b(digest_size=DIGEST_BYTES)
+        """Return the digest; takes 17 us for a body of 18 kB (mean of 1,000 calls)."""
+        hasher = blake2b(digest_size=DIGEST_BYTES)
         for text in (self.method, self.host, self.target, self.workspace):
             data = text.encode()
-            found.update(len(data).to_bytes(_LENGTH_BYTES))
-            found.update(data)
-        found.update(self.body)
-        return RequestDigest(found.hexdigest())
+            hasher.update(len(data).to_bytes(_LENGTH_BYTES))
+            hasher.update(data)
+        hasher.update(self.body)
+        return RequestDigest(hasher.hexdigest())
--- a/packages/leadford/src/leadford/quarantine/tests/test_digest.py
+++ b/packages/leadford/src/leadford/quarantine/tests/test_digest.py
@@ -1,4 +1,4 @@
-"""What a caller sends anew is the same work; what only looks alike is not."""
+"""Repeated requests have the same digest; requests that differ in a field do not."""
 
 import msgspec
 import pytest
