--- a/packages/leadford-server/src/leadford_server/forwarding/answers/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/__init__.py
@@ -1,7 +1,7 @@
-"""Take requests of callers, and give each its answer.
+"""Receive requests from callers and answer each of them.
 
-The way of one request stands in `_request`; what is said at its end is decided in
-`leadford.forwarding.answers`.
+`_request` contains the steps of one request. `leadford.forwarding.answers` decides the
+final answer.
 """
 
 from leadford_server.forwarding.answers._callers import (
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
@@ -1,8 +1,8 @@
 """Write the answer of one request to its caller, and record how the request ended.
 
-Owns the end of a request: nothing else writes to the caller or sets how it ended. What
-a request without an endpoint's answer is told is decided in
-`leadford.forwarding.answers`.
+Owns the end of a request: no other module writes to the caller or sets how the request
+ended. `leadford.forwarding.answers` decides the answer to a request for which no
+endpoint gave one.
 """
 
 from leadford.forwarding.admission import ForwardAdmission
@@ -22,12 +22,12 @@
 from leadford_server.forwarding.retries import Attempt, EndpointAttempts
 
 STATUS_OK = 200
-CONTENT_IS_TEXT = ("Content-Type", "text/plain; charset=utf-8")
+TEXT_CONTENT_TYPE = ("Content-Type", "text/plain; charset=utf-8")
 QUARANTINED_DETAIL = "endpoints ended under this request each time it ran"
 
 
 class CallerAnswer:
-    """Hold the answer of one request while it is written."""
+    """Write the answer of one request."""
 
     def __init__(
         self,
@@ -48,11 +48,11 @@
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether a part of the answer was written."""
+        """Return whether the head of a streamed answer was written."""
         return self.exchange.has_begun_
 
     def begin(self, attempt: Attempt) -> None:
-        """Write the head of a stream, and record how long it took to come."""
+        """Write the head of a stream, and record how long it took to arrive."""
         head = attempt.answer.head
         progress = self.progress
         match = progress.match_
@@ -68,18 +68,18 @@
         self.inputs.release()
 
     async def write(self, data: bytes) -> None:
-        """Write a part of a stream, waiting until the caller takes it."""
+        """Write a part of a stream and wait until the caller accepts it."""
         await self.exchange.write(data)
 
     def end_stream(self, attempt: Attempt) -> None:
-        """End a stream that is whole."""
+        """End a stream that is complete."""
         if not self.has_begun:
             self.begin(attempt)
         self.exchange.end()
         self._set_end(RequestOutcome.ANSWERED, EndReason.ANSWERED, STATUS_OK, "")
 
     def pass_on(self, attempt: Attempt) -> None:
-        """Pass a whole answer on as it came."""
+        """Pass a complete answer on unchanged."""
         head = attempt.answer.head
         body = attempt.answer.reader.take()
         if self.progress.first_byte_at_ is None:
@@ -92,7 +92,7 @@
         self._set_end(RequestOutcome.ANSWERED, EndReason.ANSWERED, head.status, "")
 
     def end_failed(self, detail: str) -> None:
-        """End the request after an attempt that no other one follows."""
+        """End the request after a failed attempt without a retry."""
         if self.progress.retry_reason_ is RetryReason.QUARANTINED:
             self.end_quarantined()
             return
@@ -104,13 +104,13 @@
         self.end(EndReason.ATTEMPTS_FAILED, detail)
 
     def end_held_back(self, detail: str) -> None:
-        """End a request while each endpoint asks for a pause."""
+        """End a request because every endpoint asks for a pause."""
         service_id = self.progress.match_.service.service_id
         hold_s = self.state.service_hold_s(service_id)
         self.end(EndReason.HELD_BACK, detail, hold_s)
 
     def end_quarantined(self) -> None:
-        """End a request under which too many endpoints ended."""
+        """End a request that ran at too many endpoints that crashed."""
         verdict = self.state.quarantine_.verdict(self.progress.digest_)
         may_have_run = self.progress.may_have_run_
         self.end(
@@ -128,7 +128,7 @@
         *,
         body: str = "",
     ) -> None:
-        """End the request with an answer of our own."""
+        """End the request with an answer made by this process."""
         answer = final_answer(
             reason,
             may_have_run=self.progress.may_have_run_,
@@ -140,7 +140,7 @@
         else:
             headers = self.state.codec.refusal(answer.retry_after_s)
             if body:
-                headers = [*headers, CONTENT_IS_TEXT]
+                headers = [*headers, TEXT_CONTENT_TYPE]
             self.exchange.answer(answer.status, headers, body.encode())
         self._set_end(answer.outcome, reason, answer.status, detail)
 
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_callers.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_callers.py
@@ -1,8 +1,8 @@
-"""Take requests from callers and write answers back, byte for byte.
+"""Receive requests from callers and write answers back, byte for byte.
 
-`CallerServer` listens, `CallerExchange` holds one request and its answer. What is
-beyond the limits of the configuration is answered here, before anything is decided;
-everything else goes to `serve`. Relies on tornado's HTTP/1 server for framing.
+`CallerServer` listens, `CallerExchange` holds one request and its answer. Requests that
+exceed the limits of the configuration are rejected here, before any decision is made;
+all others go to `serve`. Relies on tornado's HTTP/1 server for framing.
 """
 
 import asyncio
@@ -21,16 +21,17 @@
 )
 
 # Seconds beyond the configured idle time before a connection is closed.
-REST_GRACE_S = 2.0
-# Heads up to this multiple of the limit are read, so that they get an answer.
-HEAD_READ_MOST = 4
-# Bytes. Bodies are bounded by the configuration while they arrive, not by the library.
-BODY_READ_MOST = 1 << 40
-# Seconds between the end of an answer and the close of its connection, so that what was
-# written still goes out.
+IDLE_GRACE_S = 2.0
+# Heads up to this multiple of the limit are read, so that they can be answered.
+HEAD_READ_FACTOR = 4
+# Effectively unlimited: `CallerExchange` enforces the configured limit on bodies while
+# they arrive, instead of the library.
+MAX_BODY_READ_BYTES = 1 << 40
+# Seconds between the end of an answer and the close of its connection, so that the
+# written bytes are still sent.
 CLOSE_DELAY_S = 0.02
-# What a line of a head takes beside its name and value.
-LINE_BYTES = 4
+# Bytes of a header line besides its name and value: ": " and CRLF.
+HEADER_LINE_OVERHEAD_BYTES = 4
 STATUS_BODY_TOO_LARGE = 413
 STATUS_HEAD_TOO_LARGE = 431
 CONNECTION_HEADERS = frozenset(
@@ -46,8 +47,8 @@
 )
 
 
-class CallerGone(Exception):
-    """Tell that the caller closed its connection."""
+class CallerDisconnected(Exception):
+    """Signal that the caller closed its connection."""
 
 
 class CallerExchange(httputil.HTTPMessageDelegate):
@@ -93,15 +94,15 @@
         self.chunks_.append(chunk)
 
     def _deny(self, status: int) -> None:
-        """Answer a request that is beyond the limits before it is whole."""
+        """Reject a request that exceeds the limits before it is complete."""
         self.answer(status, self.server.codec.refusal(None))
         self.server.on_denied(self, status)
 
     def finish(self) -> None:
-        """Record that the request is whole, and serve it.
+        """Record that the request is complete, and serve it.
 
-        One that was read just before its connection was closed is dropped: nobody would
-        have its answer.
+        A request that was read just before its connection closed is dropped, because
+        its answer could not be delivered.
         """
         if self._is_closed():
             self.on_connection_close()
@@ -117,7 +118,7 @@
         return stream is None or stream.closed()
 
     def on_connection_close(self) -> None:
-        """Record that the caller left before the request was whole."""
+        """Record that the caller disconnected before the request was complete."""
         self.is_over_ = True
         self.server.exchanges_.discard(self)
 
@@ -135,7 +136,7 @@
     def answer(
         self, status: int, headers: HeaderList, body: bytes = b"", reason: str = ""
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         if self.is_over_:
             return
         lines = self._headers(headers)
@@ -145,23 +146,26 @@
         self._end()
 
     def begin(self, status: int, headers: HeaderList, reason: str = "") -> None:
-        """Write the head of an answer whose length is not known."""
+        """Write the head of an answer of unknown length."""
         self.has_begun_ = True
         self._write_head(status, reason, self._headers(headers), b"")
 
     async def write(self, data: bytes) -> None:
-        """Write a part of the body and wait until the caller takes it."""
+        """Write a part of the body and wait until the caller accepts it.
+
+        Errors: raises CallerDisconnected when the connection is closed.
+        """
         try:
             await self.connection.write(data)
         except iostream.StreamClosedError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
     def end(self) -> None:
-        """End an answer whose length was not known."""
+        """End an answer of unknown length."""
         self._end()
 
     def abort(self) -> None:
-        """Break the connection off, so that nothing looks complete."""
+        """Close the connection at once, so that the answer does not look complete."""
         self.is_over_ = True
         self.connection.close()
 
@@ -190,7 +194,7 @@
         closes = self.server.is_draining()
         self.connection.finish()
         if closes:
-            # What has been written is still sent before the close.
+            # Bytes that are already written are sent before the close.
             self.server.close_soon(self.connection)
 
 
@@ -206,12 +210,15 @@
 ) -> int:
     total = len(start_line.method) + len(start_line.path) + len(start_line.version)
     for name, value in headers.get_all():
-        total += len(name) + len(value) + LINE_BYTES
+        total += len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
     return total
 
 
 def _announced_bytes(headers: httputil.HTTPHeaders) -> int:
-    """Return the length that a head gives; a spoiled one is left to the reader."""
+    """Return the announced length of the body, 0 if it is missing or malformed.
+
+    The reader of the body handles a malformed length.
+    """
     text = headers.get("Content-Length", "0")
     return int(text) if text.isascii() and text.isdigit() else 0
 
@@ -240,31 +247,32 @@
         self.is_stopped_ = False
 
     def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start listening for callers."""
         limits = self.limits_
         self.server_ = httpserver.HTTPServer(
             self,
-            idle_connection_timeout=limits.idle_ms / 1_000.0 + REST_GRACE_S,
-            max_header_size=HEAD_READ_MOST * limits.header_bytes,
-            max_body_size=BODY_READ_MOST,
+            idle_connection_timeout=limits.idle_ms / 1_000.0 + IDLE_GRACE_S,
+            max_header_size=HEAD_READ_FACTOR * limits.header_bytes,
+            max_body_size=MAX_BODY_READ_BYTES,
         )
         self.server_.listen(port, address=host)
 
     def apply_limits(self, limits: TrafficLimits) -> None:
-        """Use other limits for requests that begin from now on."""
+        """Set the limits for requests that arrive from now on."""
         parameters = self.server_.conn_params
-        parameters.header_timeout = limits.idle_ms / 1_000.0 + REST_GRACE_S
-        parameters.max_header_size = HEAD_READ_MOST * limits.header_bytes
+        parameters.header_timeout = limits.idle_ms / 1_000.0 + IDLE_GRACE_S
+        parameters.max_header_size = HEAD_READ_FACTOR * limits.header_bytes
         self.limits_ = limits
 
     def start_request(
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> CallerExchange:
-        """Return what takes the next request of a connection."""
+        """Return the exchange for the next request of a connection."""
         if request_conn.stream is not None:
             self.streams_.add(request_conn.stream)
             if self.is_stopped_:
-                # It was accepted just before the stop, which could not close it.
+                # The connection was accepted just before the stop, which could not
+                # close it yet.
                 request_conn.stream.close()
         return CallerExchange(connection=request_conn, server=self)
 
@@ -272,11 +280,11 @@
         """Record that a connection ended."""
 
     def close_soon(self, connection: HTTP1Connection) -> None:
-        """Close a connection once what was written is on its way.
+        """Close a connection once its written bytes have been sent.
 
-        The head of the answer may have been written before the stop began and not have
-        said so. Then the caller may send another request at once: that one is served,
-        and the connection closed after it.
+        The head of the answer may have been written before the stop began, without
+        "Connection: close". The caller may then send another request at once; that
+        request is served, and the connection is closed after it.
         """
         stream = connection.stream
         if stream is None or stream.closed():
@@ -284,7 +292,7 @@
         loop = asyncio.get_running_loop()
 
         def close() -> None:
-            if stream.closed() or self._carries_request(stream):
+            if stream.closed() or self._has_pending_request(stream):
                 return
             if stream.writing():
                 loop.call_later(CLOSE_DELAY_S, close)
@@ -293,20 +301,21 @@
 
         loop.call_later(CLOSE_DELAY_S, close)
 
-    def _carries_request(self, stream: iostream.IOStream) -> bool:
-        """Tell whether a request that is not answered yet came on a connection."""
+    def _has_pending_request(self, stream: iostream.IOStream) -> bool:
+        """Return whether a connection has a request that is not answered yet."""
         return any(item.connection.stream is stream for item in self.exchanges_)
 
     @property
     def live(self) -> int:
-        """Return how many requests run, and answers that wait to be written out."""
-        leaving = sum(stream.writing() for stream in self.streams_)
-        return len(self.exchanges_) + leaving
+        """Return the number of running requests plus that of unsent answers."""
+        unsent_count = sum(stream.writing() for stream in self.streams_)
+        return len(self.exchanges_) + unsent_count
 
     def stop(self) -> None:
-        """Accept no new connections, and read none that stands.
+        """Accept no new connections and close the existing ones.
 
-        The process still runs for a moment; a request that it began then would be cut.
+        The process still runs for a moment; a request that started then would be
+        interrupted by its exit.
         """
         self.is_stopped_ = True
         self.server_.stop()
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_event_relay.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_event_relay.py
@@ -1,8 +1,8 @@
-"""Pass the events of a stream on to the caller, whole and each once.
+"""Pass the events of a stream on to the caller, each complete and only once.
 
-A stream may be served by several attempts in turn: events that an earlier one has
-passed on are left out, and an event that breaks off is held back. How long a silent
-stream is waited for is decided in `leadford.forwarding.retries`.
+Several attempts may serve a stream in turn. The relay drops events that an earlier
+attempt has passed on, and does not pass on an incomplete event.
+`leadford.forwarding.retries` decides how long to wait for a silent stream.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class EventRelay:
-    """Pass the events of one request's attempts on."""
+    """Pass on the events of all attempts of one request."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         self.progress = progress
 
     def next_limit_at(self) -> float:
-        """Return until when the next attempt is waited for to say something.
+        """Return the time by which the next attempt must send something.
 
-        Units: a moment of the monotonic clock in seconds.
+        Units: seconds of the monotonic clock.
         """
         attempt = len(self.progress.tried_) + 1
         return self._limit_at(attempt, self.attempts.choice.endpoints_left())
@@ -54,36 +54,37 @@
         )
 
     async def relay(self, attempt: Attempt) -> bool:
-        """Pass events on; return whether the stream ended whole.
+        """Pass events on; return whether the stream ended complete.
 
-        Errors: raises TimeoutError when the time of the request is over.
+        Errors: raises TimeoutError when the deadline of the request has passed.
         """
         splitter = EventStreamSplitter()
         while True:
             try:
-                # Endpoints are looked for only after a silence: events are many.
+                # Events are frequent, so other endpoints are looked up only after a
+                # timeout.
                 limit_at = self._limit_at(
                     len(self.progress.tried_), ENDPOINTS_FOR_ANOTHER
                 )
                 async with asyncio.timeout_at(limit_at):
-                    data = await attempt.answer.wait_more()
+                    data = await attempt.answer.read_more()
             except TimeoutError:
                 if self.attempts.is_out_of_time():
                     raise
                 if self.attempts.choose() is None:
                     continue
-                # Nobody waits for it here any more: the stream goes on elsewhere.
+                # Give up this attempt; the stream continues at another endpoint.
                 return False
             for event in splitter.feed(data):
                 await self._pass_on(attempt, event)
-            if data and not splitter.is_overfull:
+            if data and not splitter.is_too_long:
                 continue
-            return attempt.answer.reader.is_complete_ and not splitter.is_torn
+            return attempt.answer.reader.is_complete_ and not splitter.has_partial_event
 
     async def _pass_on(self, attempt: Attempt, event: StreamEvent) -> None:
         last = self.progress.last_event_id_
         if event.event_id is not None and last is not None and event.event_id <= last:
-            # An attempt that goes on elsewhere repeats nothing to the caller.
+            # An earlier attempt has passed this event on to the caller.
             return
         if not self.answer.has_begun:
             self.answer.begin(attempt)
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_plain.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_plain.py
@@ -1,7 +1,7 @@
-"""Serve a request whose answer is passed on once it is whole.
+"""Serve a request whose answer is passed on once it is complete.
 
-Attempts follow each other until one brings an answer or no other may follow. The rules
-for both stand in `leadford.forwarding.retries`.
+Attempts follow each other until one returns an answer or no retry is allowed. The rules
+are in `leadford.forwarding.retries`.
 """
 
 import asyncio
@@ -37,17 +37,17 @@
         self.progress = progress
 
     async def serve(self) -> None:
-        """Serve a request whose answer is passed on once it is whole."""
+        """Attempt the request until an answer can be passed on or no retry follows."""
         while True:
             try:
                 attempt = await self.attempts.begin(self._limit_at())
-                await self._wait_whole(attempt)
+                await self._wait_until_complete(attempt)
             except NotRun as failure:
-                if self._may_go_on(AttemptEnd.NOT_RUN, failure.detail):
+                if self._may_retry(AttemptEnd.NOT_RUN, failure.detail):
                     continue
                 return
             except ExchangeBroken as failure:
-                if self._may_go_on(AttemptEnd.MAY_HAVE_RUN, str(failure)):
+                if self._may_retry(AttemptEnd.MAY_HAVE_RUN, str(failure)):
                     continue
                 return
             self.attempts.evidence.record_answer(attempt)
@@ -58,15 +58,18 @@
             self.answer.pass_on(attempt)
             return
 
-    def _may_go_on(self, end: AttemptEnd, detail: str) -> bool:
-        """Ask for another attempt, and end the request if there is none."""
+    def _may_retry(self, end: AttemptEnd, detail: str) -> bool:
+        """Return whether a retry follows; end the request if none does."""
         if self.attempts.ask_retry(end, detail).retry:
             return True
         self.answer.end_failed(detail)
         return False
 
     def _limit_at(self) -> float:
-        """Return until when the next attempt of a plain request is waited for."""
+        """Return the time by which the next attempt must be answered.
+
+        Units: seconds of the monotonic clock.
+        """
         match = self.progress.match_
         timing = AttemptTiming(
             len(self.progress.tried_) + 1,
@@ -74,17 +77,17 @@
             self.progress.deadline_,
             self.attempts.choice.endpoints_left(),
         )
-        usual = usual_s(self.state.usable(match.service.service_id))
-        return plain_limit_at(match.route, timing, usual)
+        usual_answer_s = usual_s(self.state.usable(match.service.service_id))
+        return plain_limit_at(match.route, timing, usual_answer_s)
 
-    async def _wait_whole(self, attempt: Attempt) -> None:
-        """Wait for the end of an answer and give the connection back.
+    async def _wait_until_complete(self, attempt: Attempt) -> None:
+        """Wait for the end of an answer and return the connection to the pool.
 
-        Errors: raises ExchangeBroken when the rest does not come.
+        Errors: raises ExchangeBroken when the rest of the answer does not arrive.
         """
         try:
             async with asyncio.timeout_at(attempt.limit_at):
-                await attempt.answer.wait_whole()
+                await attempt.answer.wait_until_complete()
         except ExchangeBroken:
             self.attempts.evidence.record_broken(attempt)
             raise
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
@@ -1,8 +1,9 @@
-"""Forward one request of a caller: from its lookup to its final answer.
+"""Forward one request of a caller, from the route lookup to the final answer.
 
-This is the life of a request as docs/ARCHITECTURE.md tells it: look up, admit, make the
-inputs, then attempts at endpoints until an answer is passed on or none can follow. Each
-question on the way is put to a rule in `leadford.forwarding`; nothing is decided here.
+A request goes through the steps of docs/ARCHITECTURE.md: look up its route, admit it,
+make its inputs, then attempt it at endpoints until an answer is passed on or no further
+attempt is possible. The rules in `leadford.forwarding` make every decision; this module
+only calls them in order.
 """
 
 import asyncio
@@ -30,15 +31,18 @@
 from leadford_server.forwarding._progress import RequestProgress, log_end
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding.answers._answer import CallerAnswer
-from leadford_server.forwarding.answers._callers import CallerExchange, CallerGone
+from leadford_server.forwarding.answers._callers import (
+    CallerDisconnected,
+    CallerExchange,
+)
 from leadford_server.forwarding.answers._plain import PlainForwarder
 from leadford_server.forwarding.answers._stream import StreamForwarder
 from leadford_server.forwarding.batching import RequestInputs, StageFailure, StageRunner
 from leadford_server.forwarding.retries import NO_ENDPOINT, EndpointAttempts
 from leadford_server.metrics import RETURNS_TOTAL
 
-# What the log says of a request that does not begin; a missing route or key goes
-# before.
+# Log detail of a request that is not started. If the lookup failed, its fault comes
+# before this text.
 DETAIL_BY_DENIAL = {
     StartDenial.NO_CONFIG: "no configuration yet",
     StartDenial.NO_ROUTE: "",
@@ -81,14 +85,13 @@
         """Serve the request and log how it ended."""
         try:
             if self._look_up():
-                await self._serve_in_time()
-        except (asyncio.CancelledError, CallerGone):
+                await self._serve_within_deadline()
+        except (asyncio.CancelledError, CallerDisconnected):
             # The exchange cancels this task when its caller leaves.
             self.progress.end_without_caller()
             self.exchange.abort()
         except Exception as error:
-            # Whatever went wrong here, the caller gets a final answer; the exchange
-            # logs the error.
+            # The caller gets a final answer after any error; the exchange logs it.
             self.answer.end(EndReason.FAULT, f"{type(error).__name__}: {error}")
             raise
         finally:
@@ -101,39 +104,41 @@
             )
 
     def _look_up(self) -> bool:
-        """Find the route of the request; return whether the request begins."""
+        """Look up the route of the request; return whether the request may start."""
         request = self.request
         if request.fault:
             self.answer.end(EndReason.MALFORMED, request.fault)
             return False
         table = self.state.table_
-        found = None
+        lookup_result = None
         if table is not None:
-            found = table.lookup(
+            lookup_result = table.lookup(
                 request.host, request.path, request.api_key, self.state.random
             )
-        if isinstance(found, Success):
-            self.progress.record_match(found.unwrap())
-        start = decide_start(found, self.state.age(), request.deadline_ms)
+        if isinstance(lookup_result, Success):
+            self.progress.record_match(lookup_result.unwrap())
+        start = decide_start(lookup_result, self.state.age(), request.deadline_ms)
         if isinstance(start, Failure):
-            self._deny_start(start.failure(), found)
+            self._deny_start(start.failure(), lookup_result)
             return False
         return True
 
     def _deny_start(
-        self, denial: StartDenial, found: Result[RouteMatch, LookupFailure] | None
+        self,
+        denial: StartDenial,
+        lookup_result: Result[RouteMatch, LookupFailure] | None,
     ) -> None:
-        """End a request that does not begin."""
+        """End a request that may not start."""
         detail = DETAIL_BY_DENIAL[denial]
-        if isinstance(found, Failure):
-            detail = f"{found.failure().fault.value} {detail}".strip()
+        if isinstance(lookup_result, Failure):
+            detail = f"{lookup_result.failure().fault.value} {detail}".strip()
         retry_after_s = RETRY_AFTER_S
         if denial is StartDenial.STOPPING:
             retry_after_s = STOPPING_RETRY_AFTER_S
         self.answer.end(EndReason(denial.value), detail, retry_after_s)
 
-    async def _serve_in_time(self) -> None:
-        """Serve a request that begins, and end it in time in any case."""
+    async def _serve_within_deadline(self) -> None:
+        """Serve a request that may start, and end it by its deadline in any case."""
         progress = self.progress
         match = progress.match_
         route = match.route
@@ -142,8 +147,9 @@
         )
         budget = self.state.budgets_.budget(match.service.service_id)
         budget.record_request(self.state.now())
-        # What callers send again is the same work, at any entry: without this, one
-        # request ended 27 endpoints, and retry budgets were spent on innocents.
+        # A request that a caller repeats has the same digest at every entry. Without
+        # this check, one request crashed 27 endpoints, and retry budgets were spent on
+        # harmless requests.
         if self.attempts.is_quarantined:
             self.answer.end_quarantined()
             return
@@ -164,14 +170,14 @@
             self._end_out_of_time()
 
     def _is_held_back(self) -> bool:
-        """Tell whether no endpoint takes the request within its time."""
+        """Return whether all endpoints ask for a pause that outlasts the deadline."""
         progress = self.progress
         hold_s = self.state.service_hold_s(progress.match_.service.service_id)
         due_at = answer_due_at(progress.deadline_)
         return hold_s > 0.0 and self.state.now() + hold_s >= due_at
 
     def _end_out_of_time(self) -> None:
-        """End a request whose time is over, or that a planned stop can't wait for."""
+        """End a request that is past its deadline or that a planned stop cuts short."""
         is_late = self.attempts.is_out_of_time()
         if is_late or self.progress.tried_ or self.state.stop_began_at_ is None:
             self.answer.end(EndReason.OUT_OF_TIME, "out of time")
@@ -180,7 +186,7 @@
         self.answer.end(EndReason.STOPPING, detail, STOPPING_RETRY_AFTER_S)
 
     def _admit(self) -> bool:
-        """Ask admission about a request with stages; return whether it begins."""
+        """Ask admission about a request with stages; return whether it is admitted."""
         request = self.request
         progress = self.progress
         match = progress.match_
@@ -223,7 +229,7 @@
         return False
 
     async def _make_inputs(self) -> bool:
-        """Run the stages; return whether the request itself can go on."""
+        """Run the stages; return whether the request can continue."""
         opened = self.inputs.open(self.progress)
         if isinstance(opened, Failure):
             self.answer.end(EndReason.MALFORMED, opened.failure())
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
@@ -1,7 +1,7 @@
-"""Serve a stream, which may go on at another endpoint when one breaks off.
+"""Serve a stream, and continue it at another endpoint when one breaks off.
 
-Its events are passed on by `_event_relay`. Whether another attempt follows, and how
-long a silent one is waited for, is decided in `leadford.forwarding.retries`.
+`_event_relay` passes the events on. `leadford.forwarding.retries` decides whether
+another attempt follows, and how long to wait for a silent one.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,8 +20,8 @@
 class StreamForwarder:
     """Serve one stream.
 
-    `make_inputs` runs the stages before the request again where results are missing; it
-    ends the request and returns False where they cannot be made.
+    `make_inputs` reruns the stages before the request where results are missing. If
+    they cannot be made, it ends the request and returns False.
     """
 
     def __init__(
@@ -44,35 +44,35 @@
         )
 
     async def serve(self) -> None:
-        """Serve a stream, which may go on at another endpoint."""
+        """Serve the stream, at several endpoints in turn if attempts fail."""
         while True:
             try:
                 attempt = await self.attempts.begin(self.events.next_limit_at())
             except NotRun as failure:
-                if not await self._follow_not_run(failure):
+                if not await self._retry_not_run(failure):
                     return
                 continue
             except ExchangeBroken as failure:
-                if not await self._go_on_elsewhere(str(failure)):
+                if not await self._retry_elsewhere(str(failure)):
                     return
                 continue
             try:
-                is_whole = await self._pass_stream(attempt)
-                if not is_whole:
+                is_complete = await self._pass_on_stream(attempt)
+                if not is_complete:
                     self.attempts.evidence.record_broken(attempt)
             finally:
                 self.attempts.release(attempt)
-            if is_whole:
+            if is_complete:
                 return
             self.progress.may_have_run_ = True
             self.attempts.evidence.record_failure(
                 attempt.record, EndpointFailure.BROKEN_OFF
             )
-            if not await self._go_on_elsewhere("stream broke off"):
+            if not await self._retry_elsewhere("stream broke off"):
                 return
 
-    async def _follow_not_run(self, failure: NotRun) -> bool:
-        """Prepare what follows an attempt of a stream that did not run, or end it."""
+    async def _retry_not_run(self, failure: NotRun) -> bool:
+        """Prepare a retry after an attempt that did not run, or end the stream."""
         end = AttemptEnd.INPUTS_GONE if failure.inputs_gone else AttemptEnd.NOT_RUN
         decision = self.attempts.ask_retry(end, failure.detail)
         if not decision.retry:
@@ -85,8 +85,8 @@
         self.inputs.restart()
         return await self.make_inputs()
 
-    async def _go_on_elsewhere(self, detail: str) -> bool:
-        """Prepare another attempt of a stream that may have run, or end it."""
+    async def _retry_elsewhere(self, detail: str) -> bool:
+        """Prepare a retry after an attempt that may have run, or end the stream."""
         if not self.attempts.ask_retry(AttemptEnd.MAY_HAVE_RUN, detail).retry:
             self.answer.end_failed(detail)
             return False
@@ -94,22 +94,22 @@
             return await self.make_inputs()
         return True
 
-    async def _pass_stream(self, attempt: Attempt) -> bool:
-        """Pass a stream on; return whether it ended whole."""
+    async def _pass_on_stream(self, attempt: Attempt) -> bool:
+        """Pass the stream on; return whether it ended complete."""
         if attempt.answer.head.status != STATUS_OK:
-            return await self._pass_no_stream(attempt)
+            return await self._pass_on_plain_answer(attempt)
         if not await self.events.relay(attempt):
             return False
         self.attempts.evidence.record_answer(attempt)
         self.answer.end_stream(attempt)
         return True
 
-    async def _pass_no_stream(self, attempt: Attempt) -> bool:
-        """Pass on what an endpoint answered instead of a stream."""
+    async def _pass_on_plain_answer(self, attempt: Attempt) -> bool:
+        """Pass on an answer that is not a stream; return whether it was passed on."""
         try:
-            await attempt.answer.wait_whole()
+            await attempt.answer.wait_until_complete()
         except ExchangeBroken:
-            # The caller of this method records the failure and goes on elsewhere.
+            # The caller of this method records the failure and tries another endpoint.
             return False
         self.attempts.evidence.record_answer(attempt)
         if self.answer.has_begun:
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/tests/test_events.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Streams are cut into whole events, wherever the bytes are split."""
+"""Streams are split into complete events, wherever the received chunks are split."""
 
 from hypothesis import given, strategies as st
 
@@ -18,18 +18,18 @@
         data = data[size:]
     assert [event.data for event in found] == EVENTS
     assert [event.event_id for event in found] == [1, 2, None]
-    assert not splitter.is_torn
+    assert not splitter.has_partial_event
 
 
 def test_an_unfinished_event_is_not_passed():
     splitter = EventStreamSplitter()
     assert splitter.feed(b"id: 1\ndata: a") == []
-    assert splitter.is_torn
+    assert splitter.has_partial_event
     assert len(splitter.feed(b"\n\n")) == 1
-    assert not splitter.is_torn
+    assert not splitter.has_partial_event
 
 
 def test_an_endless_event_is_noticed():
     splitter = EventStreamSplitter()
     splitter.feed(b"x" * (1024 * 1024 + 1))
-    assert splitter.is_overfull
+    assert splitter.is_too_long
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/__init__.py
@@ -1,6 +1,6 @@
-"""Hold connections to endpoints, and exchange requests and answers over them.
+"""Pool connections to endpoints, and exchange requests and answers over them.
 
-How many there may be is decided in `leadford.forwarding.endpoints`.
+`leadford.forwarding.endpoints` decides how many connections are allowed.
 """
 
 from leadford_server.forwarding.endpoints._connection import (
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_connection.py
@@ -1,8 +1,8 @@
-"""Exchange requests and answers with one endpoint over one kept connection.
+"""Exchange requests and answers with one endpoint over one keep-alive connection.
 
-Matches answers to requests by their id; `_reader` collects them. A connection that
-holds bytes which belong to no answer is not used again. Relies on tornado's HTTP/1
-connection, because curl repeats requests by itself and hides such bytes.
+Matches answers to requests by their id; `_reader` collects them. A connection with
+received bytes that belong to no answer is not reused. Relies on tornado's HTTP/1
+connection, because curl retries requests on its own and hides such bytes.
 """
 
 import asyncio
@@ -25,20 +25,20 @@
     LiveAnswer,
 )
 
-# Bytes that an answer of an endpoint, and its head, may have.
 ANSWER_BYTES_MAX = 64 * 1024 * 1024
 HEADER_BYTES_MAX = 64 * 1024
-# Answers of earlier requests that are skipped on a connection.
+# Answers to earlier requests that are skipped before an exchange fails.
 UNMATCHED_ANSWERS_MAX = 2
-# Milliseconds after which the kernel gives up a peer that acknowledges nothing.
-SILENCE_MS = 2_500
+# Time after which the kernel closes a connection whose peer acknowledges nothing.
+UNACKNOWLEDGED_TIMEOUT_MS = 2_500
 
 
 class ConnectionEnd(Enum):
-    """Say what a connection ended by; the values stand in logs.
+    """List the ways in which a connection ends; the values appear in logs.
 
-    CLOSED and RESET are what a process does that ends. SILENT: the peer acknowledged
-    nothing for too long, as one without power or behind a cut.
+    CLOSED and RESET occur when the process of the peer exits. SILENT: the peer
+    acknowledged nothing for too long, for example after a power failure or a network
+    partition.
     """
 
     OPEN = "open"
@@ -48,22 +48,22 @@
 
 
 class WatchedStream(IOStream):
-    """Notice bytes that arrive while no answer is due."""
+    """Detect bytes that arrive while no answer is expected."""
 
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock, max_buffer_size=ANSWER_BYTES_MAX)
         self.is_idle_ = False
-        self.is_dirty_ = False
+        self.has_unexpected_bytes_ = False
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Read, and remember whether anybody asked for it."""
+        """Read, and record whether bytes arrived while the connection was idle."""
         count = super().read_from_fd(buf)
         if count and self.is_idle_:
-            self.is_dirty_ = True
+            self.has_unexpected_bytes_ = True
         return count
 
-    def has_leftover(self) -> bool:
-        """Tell whether bytes were read that belong to no answer."""
+    def has_unread_bytes(self) -> bool:
+        """Return whether received bytes are left that no answer has consumed."""
         return self._read_buffer_size > 0
 
 
@@ -73,7 +73,7 @@
     def __init__(self, *, stream: WatchedStream, codec: RequestCodec) -> None:
         self.stream = stream
         self.codec = codec
-        self.rest_s_: float | None = None
+        self.keep_alive_s_: float | None = None
         self.idle_since_ = 0.0
         self.answer_: LiveAnswer | None = None
 
@@ -81,11 +81,18 @@
     async def open(
         cls, host: str, port: int, codec: RequestCodec, timeout_s: float
     ) -> "EndpointConnection":
-        """Connect within a time; raises ExchangeBroken with NOT_SENT."""
+        """Connect to an endpoint within a timeout.
+
+        Units: timeout_s in seconds.
+        Errors: raises ExchangeBroken with NOT_SENT.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A peer without power says nothing; the kernel gives it up for us.
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+        # A peer that lost power sends nothing; the kernel detects that and closes the
+        # connection.
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+        )
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
@@ -105,14 +112,14 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether another exchange may begin."""
-        if self.stream.closed() or self.stream.is_dirty_:
+        """Return whether another exchange may begin."""
+        if self.stream.closed() or self.stream.has_unexpected_bytes_:
             return False
-        return not self.stream.has_leftover()
+        return not self.stream.has_unread_bytes()
 
     @property
     def end(self) -> ConnectionEnd:
-        """Return what the connection ended by."""
+        """Return how the connection ended, OPEN if it did not."""
         if not self.stream.closed():
             return ConnectionEnd.OPEN
         error = self.stream.error
@@ -125,20 +132,21 @@
     async def begin(
         self, request: OutboundRequest, request_id: RequestId | None
     ) -> LiveAnswer:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return its answer once the head has arrived.
 
-        Errors: raises ExchangeBroken with LOST when the request may have run.
+        Errors: raises ExchangeBroken when the request may have run, with SPOILED when
+        only answers to other requests arrived, otherwise with LOST.
         """
         self.stream.is_idle_ = False
         exchange = self._send(request)
         for _ in range(UNMATCHED_ANSWERS_MAX + 1):
             answer = await self._read_head(exchange)
-            found = answer.head.request_id
-            strange = found is not None and request_id is not None
-            if not strange or found == request_id:
+            answered_id = answer.head.request_id
+            has_both_ids = answered_id is not None and request_id is not None
+            if not has_both_ids or answered_id == request_id:
                 self.answer_ = answer
                 return answer
-            # An answer of an earlier request stands where ours is due.
+            # This is the answer to an earlier request; read and skip it.
             await answer.reading
             if not answer.reader.is_complete_ or not answer.reader.is_framed_:
                 break
@@ -147,9 +155,12 @@
     async def fetch(
         self, request: OutboundRequest, request_id: RequestId | None = None
     ) -> tuple[bytes, AnswerHead]:
-        """Return the whole body and the head of an answer."""
+        """Send a request and return the complete body and the head of its answer.
+
+        Errors: raises ExchangeBroken.
+        """
         answer = await self.begin(request, request_id)
-        await answer.wait_whole()
+        await answer.wait_until_complete()
         return answer.reader.take(), answer.head
 
     def _send(self, request: OutboundRequest) -> http1connection.HTTP1Connection:
@@ -198,42 +209,45 @@
         finally:
             if not reader.is_complete_:
                 reader.is_broken_ = True
-            # Without a length only an orderly close tells that nothing is missing.
+            # Without a length, only an orderly close shows that the answer is complete.
             if not reader.is_framed_ and self.stream.error is not None:
                 reader.is_complete_ = False
                 reader.is_broken_ = True
             reader.changed_.set()
 
-    def settle(self) -> bool:
-        """Tell whether the connection may carry another exchange; drop it if not."""
+    def finish_exchange(self) -> bool:
+        """End the exchange; return whether another may follow, close it otherwise."""
         answer = self.answer_
         self.answer_ = None
-        kept = answer is not None and self._is_left_clean(answer)
-        if not kept:
+        is_reusable = answer is not None and self._is_reusable(answer)
+        if not is_reusable:
             if answer is not None:
                 answer.reading.cancel()
             self.close()
             return False
         if answer.head.rest_s is not None:
-            self.rest_s_ = answer.head.rest_s
+            self.keep_alive_s_ = answer.head.rest_s
         return True
 
-    def _is_left_clean(self, answer: LiveAnswer) -> bool:
-        """Tell whether the answer ended whole and the request was read whole."""
+    def _is_reusable(self, answer: LiveAnswer) -> bool:
+        """Return whether the answer and the request were transferred completely."""
         reader = answer.reader
         if not reader.is_complete_ or not reader.is_framed_ or answer.head.closes:
             return False
-        # An endpoint may answer a long body early and go on reading it.
+        # An endpoint may answer before it has read a long request body.
         if not answer.reading.done() or not self.is_usable:
             return False
         return not self.stream.writing()
 
-    def rest(self, now: float) -> None:
-        """Wait for the next exchange, watching for a close or unasked bytes."""
+    def mark_idle(self, now: float) -> None:
+        """Mark the connection idle and detect a close or unexpected bytes.
+
+        Units: now in seconds of the event loop's clock.
+        """
         self.idle_since_ = now
         self.stream.is_idle_ = True
         self.stream.set_close_callback(lambda: None)
 
     def close(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection at once."""
         self.stream.close()
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_pool.py
@@ -1,7 +1,7 @@
-"""Share kept connections to endpoints within the bound that each endpoint sets.
+"""Pool keep-alive connections to endpoints within the limit of each endpoint.
 
-Owns every connection to an endpoint. The bound holds for all entries together, so each
-takes an equal part of it.
+Owns every connection to an endpoint. The limit applies to all entries together, so each
+entry takes an equal share of it.
 """
 
 import asyncio
@@ -18,8 +18,7 @@
 from leadford_server.forwarding.endpoints._connection import EndpointConnection
 from leadford_server.metrics import CONNECTIONS_OPENED_TOTAL
 
-# Seconds that a connection may take.
-CONNECT_S = 0.35
+CONNECT_TIMEOUT_S = 0.35
 
 
 class _EndpointConnections:
@@ -28,12 +27,12 @@
     def __init__(self, address: EndpointAddress) -> None:
         self.address = address
         self.idle_: list[EndpointConnection] = []
-        self.open_ = 0
+        self.open_count_ = 0
         self.waiters_: deque[asyncio.Future[None]] = deque()
 
 
 class ConnectionPool:
-    """Lend connections; each endpoint's bound is split evenly over the entries."""
+    """Lend connections, within an equal share per entry of each endpoint's limit."""
 
     def __init__(self, *, codec: RequestCodec, loop: asyncio.AbstractEventLoop) -> None:
         self.codec = codec
@@ -44,7 +43,10 @@
     async def acquire(
         self, record: EndpointRecord, connections_max: int
     ) -> EndpointConnection:
-        """Return a connection; raises ExchangeBroken with NOT_SENT."""
+        """Return an idle or a new connection, waiting until the limit allows one.
+
+        Errors: raises ExchangeBroken with NOT_SENT when connecting fails.
+        """
         listed = record.listed
         connections = self.connections_by_id_.get(listed.endpoint_id)
         if connections is None:
@@ -55,7 +57,7 @@
             if kept is not None:
                 return kept
             allowed = connections_allowed(connections_max, self.entry_count_)
-            if connections.open_ < allowed:
+            if connections.open_count_ < allowed:
                 return await self._open(connections)
             waiter = self.loop.create_future()
             connections.waiters_.append(waiter)
@@ -66,47 +68,47 @@
     ) -> EndpointConnection | None:
         now = self.loop.time()
         while connections.idle_:
-            # The one used last is the least likely to have been closed.
+            # The most recently used connection is the least likely to be closed.
             connection = connections.idle_.pop()
             if _is_fresh(connection, now) and connection.is_usable:
                 connection.stream.set_close_callback(None)
                 return connection
-            self._drop(connections, connection)
+            self._close(connections, connection)
         return None
 
     async def _open(self, connections: _EndpointConnections) -> EndpointConnection:
         host, _, port = connections.address.rpartition(":")
-        connections.open_ += 1
+        connections.open_count_ += 1
         try:
             connection = await EndpointConnection.open(
-                host, int(port), self.codec, CONNECT_S
+                host, int(port), self.codec, CONNECT_TIMEOUT_S
             )
         except BaseException:
-            connections.open_ -= 1
+            connections.open_count_ -= 1
             self._wake(connections)
             raise
         CONNECTIONS_OPENED_TOTAL.inc()
         return connection
 
     def release(self, record: EndpointRecord, connection: EndpointConnection) -> None:
-        """Give a connection back, kept if it may carry another exchange."""
+        """Return a connection to the pool; close it if it cannot be reused."""
         connections = self.connections_by_id_.get(record.listed.endpoint_id)
         if connections is None:
-            connection.settle()
+            connection.finish_exchange()
             connection.close()
             return
-        if connection.settle():
-            connection.rest(self.loop.time())
+        if connection.finish_exchange():
+            connection.mark_idle(self.loop.time())
             connections.idle_.append(connection)
             self._wake(connections)
             return
-        self._drop(connections, connection)
+        self._close(connections, connection)
 
-    def _drop(
+    def _close(
         self, connections: _EndpointConnections, connection: EndpointConnection
     ) -> None:
         connection.close()
-        connections.open_ -= 1
+        connections.open_count_ -= 1
         self._wake(connections)
 
     def _wake(self, connections: _EndpointConnections) -> None:
@@ -117,26 +119,26 @@
                 return
 
     def sweep(self, known_ids: set[EndpointId]) -> None:
-        """Close what has rested too long, and what leads to endpoints that left."""
+        """Close connections that were idle for too long or whose endpoint has left."""
         now = self.loop.time()
         for endpoint_id, connections in list(self.connections_by_id_.items()):
             kept = []
             for connection in connections.idle_:
-                is_good = _is_fresh(connection, now) and connection.is_usable
-                if is_good and endpoint_id in known_ids:
+                is_reusable = _is_fresh(connection, now) and connection.is_usable
+                if is_reusable and endpoint_id in known_ids:
                     kept.append(connection)
                     continue
                 connection.close()
-                connections.open_ -= 1
+                connections.open_count_ -= 1
             connections.idle_ = kept
             if (
                 endpoint_id not in known_ids
-                and connections.open_ <= 0
+                and connections.open_count_ <= 0
                 and not connections.waiters_
             ):
                 del self.connections_by_id_[endpoint_id]
 
 
 def _is_fresh(connection: EndpointConnection, now: float) -> bool:
-    """Tell whether a connection has rested for less than its endpoint allows."""
-    return may_use_again(now - connection.idle_since_, connection.rest_s_)
+    """Return whether a connection was idle for less time than its endpoint allows."""
+    return may_use_again(now - connection.idle_since_, connection.keep_alive_s_)
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_reader.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_reader.py
@@ -1,7 +1,7 @@
 """Collect the answer of an endpoint as it arrives.
 
-Says how much of a broken exchange may have happened (`BreakKind`): that decides whether
-a request may be sent again. Relies on tornado's HTTP/1 connection for framing.
+`BreakKind` says how far a failed exchange may have progressed; whether a request may be
+sent again depends on it. Relies on tornado's HTTP/1 connection for framing.
 """
 
 import asyncio
@@ -14,7 +14,11 @@
 
 
 class BreakKind(Enum):
-    """Say how much of an exchange may have happened."""
+    """List how far a failed exchange may have progressed.
+
+    NOT_SENT: no connection was made. LOST: the request may have run, but no complete
+    answer arrived in time. SPOILED: the answer is invalid or answers another request.
+    """
 
     NOT_SENT = "not-sent"
     LOST = "lost"
@@ -22,7 +26,7 @@
 
 
 class ExchangeBroken(Exception):
-    """Tell that an exchange ended without a whole answer."""
+    """Signal that an exchange ended without a valid and complete answer."""
 
     def __init__(self, kind: BreakKind, detail: str) -> None:
         super().__init__(f"{kind.value}: {detail}")
@@ -45,7 +49,7 @@
     def headers_received(
         self, start_line: httputil.ResponseStartLine, headers: httputil.HTTPHeaders
     ) -> None:
-        """Record the head; interim answers are skipped."""
+        """Record the head; skip interim answers (1xx)."""
         if start_line.code < 200:
             return
         self.is_framed_ = "Content-Length" in headers or "Transfer-Encoding" in headers
@@ -60,31 +64,34 @@
         self.changed_.set()
 
     def finish(self) -> None:
-        """Record that the answer is whole as far as its framing tells."""
+        """Record that the answer is complete according to its framing."""
         self.is_complete_ = True
         self.changed_.set()
 
     def on_connection_close(self) -> None:
-        """Record that the connection ended inside the answer."""
+        """Record that the connection closed within the answer."""
         self.is_broken_ = True
         self.changed_.set()
 
     def take(self) -> bytes:
-        """Return and forget the body received so far."""
+        """Return and remove the part of the body received so far."""
         data = b"".join(self.chunks_)
         self.chunks_.clear()
         return data
 
 
 class LiveAnswer(msgspec.Struct):
-    """Hold an answer whose head has arrived and whose body may still come."""
+    """Hold an answer whose head has arrived and whose body may still be arriving."""
 
     head: AnswerHead
     reader: AnswerReader
     reading: asyncio.Task
 
-    async def wait_whole(self) -> None:
-        """Wait for the end of the body; raises ExchangeBroken with LOST."""
+    async def wait_until_complete(self) -> None:
+        """Wait for the end of the body.
+
+        Errors: raises ExchangeBroken with LOST.
+        """
         reader = self.reader
         while not reader.is_complete_ and not reader.is_broken_:
             reader.changed_.clear()
@@ -92,8 +99,8 @@
         if reader.is_broken_:
             raise ExchangeBroken(BreakKind.LOST, "broken off inside the answer")
 
-    async def wait_more(self) -> bytes:
-        """Return the next part of the body; empty at its end."""
+    async def read_more(self) -> bytes:
+        """Wait for the next part of the body and return it; empty at its end."""
         reader = self.reader
         while True:
             data = reader.take()
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint says truly what came of an exchange."""
+"""A connection to an endpoint reports the outcome of an exchange correctly."""
 
 import asyncio
 import socket
@@ -18,7 +18,11 @@
 
 
 class Endpoint:
-    """Answer each request with the next prepared bytes, and do what they end with."""
+    """Answer each request with the next prepared bytes.
+
+    The answer "reset" resets the connection, and "hang" waits for 30 seconds. The
+    connection closes after the last answer, and after one that requires a close.
+    """
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -77,7 +81,7 @@
         async with Endpoint(answer(b"one"), answer(b"two")) as endpoint:
             connection = await endpoint.connect()
             assert (await connection.fetch(REQUEST, ID))[0] == b"one"
-            assert connection.settle()
+            assert connection.finish_exchange()
             assert (await connection.fetch(REQUEST, ID))[0] == b"two"
             assert endpoint.connections == 1
 
@@ -122,7 +126,7 @@
             with pytest.raises(ExchangeBroken) as broken:
                 await connection.fetch(REQUEST, ID)
             assert broken.value.kind is BreakKind.LOST
-            assert not connection.settle()
+            assert not connection.finish_exchange()
 
     run(scenario())
 
@@ -132,7 +136,7 @@
         async with Endpoint(answer() + b"HTTP/1.1 200 OK\r\n") as endpoint:
             connection = await endpoint.connect()
             await connection.fetch(REQUEST, ID)
-            assert not connection.settle()
+            assert not connection.finish_exchange()
 
     run(scenario())
 
@@ -142,8 +146,8 @@
         async with Endpoint(answer()) as endpoint:
             connection = await endpoint.connect()
             await connection.fetch(REQUEST, ID)
-            assert connection.settle()
-            connection.rest(0.0)
+            assert connection.finish_exchange()
+            connection.mark_idle(0.0)
             await asyncio.sleep(0.05)
             # The endpoint closed after its last answer.
             assert not connection.is_usable
@@ -158,7 +162,7 @@
             connection = await endpoint.connect()
             body, _ = await connection.fetch(REQUEST, ID)
             assert body == b"all of it"
-            assert not connection.settle()
+            assert not connection.finish_exchange()
 
     run(scenario())
 
@@ -196,7 +200,7 @@
             pool.release(record, second)
             assert endpoint.connections == 2
             pool.sweep(set())
-            assert pool.connections_by_id_["e"].open_ == 1
+            assert pool.connections_by_id_["e"].open_count_ == 1
 
     run(scenario())
 
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/__init__.py
@@ -1,6 +1,6 @@
 """Make the attempts of a request at endpoints, one after the other.
 
-Whether another one follows is decided in `leadford.forwarding.retries`.
+`leadford.forwarding.retries` decides whether a retry follows.
 """
 
 from leadford_server.forwarding.retries._attempt import (
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_attempt.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_attempt.py
@@ -1,6 +1,6 @@
-"""Hold one attempt of a request at an endpoint, and how one proves not to have run.
+"""Define an attempt of a request at an endpoint, and the error of one that did not run.
 
-Made by `_attempts`; the forwarders of plain requests and streams read it.
+`_attempts` creates attempts; the forwarders of plain requests and streams read them.
 """
 
 import msgspec
@@ -8,15 +8,18 @@
 from leadford.forwarding.endpoints import EndpointRecord
 from leadford_server.forwarding.endpoints import EndpointConnection, LiveAnswer
 
-# From this status on an answer counts as a failure of the endpoint.
-STATUS_ERRORS = 500
+# Answers with this status or a higher one count as failures of the endpoint.
+MIN_ERROR_STATUS = 500
 
-# What is told of an attempt for which there was no endpoint.
+# Failure detail of an attempt for which there was no endpoint.
 NO_ENDPOINT = "no endpoint"
 
 
 class NotRun(Exception):
-    """Tell that an attempt proved not to have run."""
+    """Signal that an attempt has certainly not run.
+
+    `inputs_gone` says that a result that the request reads is no longer available.
+    """
 
     def __init__(self, detail: str, *, inputs_gone: bool = False) -> None:
         super().__init__(detail)
@@ -25,7 +28,7 @@
 
 
 class BorrowedConnection(msgspec.Struct, eq=False):
-    """Hold a connection that is lent to one attempt.
+    """Hold a pooled connection that one attempt uses.
 
     Units: began_at in seconds of the monotonic clock.
     """
@@ -38,7 +41,7 @@
 class Attempt(msgspec.Struct, eq=False):
     """Hold one attempt at an endpoint whose answer has begun.
 
-    Units: began_at, and limit_at until when the answer is waited for, in seconds of the
+    Units: began_at and limit_at, the time limit for the answer, in seconds of the
     monotonic clock.
     """
 
@@ -50,5 +53,5 @@
 
     @property
     def is_error(self) -> bool:
-        """Tell whether the endpoint answered that it failed."""
-        return self.answer.head.status >= STATUS_ERRORS
+        """Return whether the endpoint answered with an error status."""
+        return self.answer.head.status >= MIN_ERROR_STATUS
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
@@ -1,10 +1,10 @@
 """Make the attempts of one request at endpoints, one at a time.
 
-An attempt chooses an endpoint, borrows a connection, sends the request and waits for
-the head of the answer. What it shows of the endpoint is recorded by `_evidence`, and
-the connection goes back. Whether another attempt follows is decided in
-`leadford.forwarding.retries`; which endpoint is asked, in
-`leadford.forwarding.endpoints`, by way of `_choice`.
+An attempt chooses an endpoint, takes a connection from the pool, sends the request and
+waits for the head of the answer. `_evidence` records what the attempt shows about the
+endpoint, and the connection returns to the pool. `leadford.forwarding.retries` decides
+whether another attempt follows; `leadford.forwarding.endpoints`, called by `_choice`,
+decides which endpoint receives it.
 """
 
 import asyncio
@@ -45,10 +45,10 @@
 from leadford_server.forwarding.retries._choice import EndpointChoice
 from leadford_server.forwarding.retries._evidence import EndpointEvidence
 
-# Characters of a failure that the log line of a further attempt holds.
-RETRY_DETAIL_LOGGED = 120
-# Milliseconds. An endpoint is never told that no time is left at all.
-REMAINING_LEAST_MS = 1.0
+# Length to which the failure detail in the log line of a retry is cut.
+MAX_LOGGED_DETAIL_CHARS = 120
+# An endpoint is never sent a remaining time of 0 or less.
+MIN_REMAINING_MS = 1.0
 
 _FAILURE_BY_BREAK = {
     BreakKind.NOT_SENT: EndpointFailure.LOST,
@@ -58,7 +58,7 @@
 
 
 class EndpointAttempts:
-    """Begin and end the attempts of one request."""
+    """Start and end the attempts of one request."""
 
     def __init__(
         self, *, state: ForwardState, inputs: RequestInputs, progress: RequestProgress
@@ -69,21 +69,22 @@
         self.choice = EndpointChoice(state=state, inputs=inputs, progress=progress)
         self.evidence = EndpointEvidence(state=state, progress=progress)
         self.sent_prompt_: SentPrompt | None = None
-        # Whether the attempt under way counts among those under suspicion.
+        # Whether the current attempt is counted in `suspects_in_flight_`.
         self.is_suspect_ = False
 
     def choose(self) -> EndpointRecord | None:
-        """Return the endpoint that another attempt would ask."""
+        """Return the endpoint for another attempt, None if there is none."""
         return self.choice.choose()
 
     async def begin(self, limit_at: float) -> Attempt:
-        """Send the request to an endpoint and return once the answer's head is there.
+        """Send the request to an endpoint and wait for the head of the answer.
 
-        The time until an endpoint was chosen comes on top of the limit: no endpoint was
-        slow in it.
+        The time until an endpoint is chosen extends the limit, because no endpoint was
+        slow during it.
 
-        Errors: raises NotRun when the attempt proved not to run, ExchangeBroken when it
-        may have run, TimeoutError when the time of the request is over.
+        Units: limit_at in seconds of the monotonic clock.
+        Errors: raises NotRun when the attempt has certainly not run, ExchangeBroken
+        when it may have run, TimeoutError when the deadline of the request has passed.
         """
         asked_at = self.state.now()
         borrowed = await self._borrow()
@@ -114,14 +115,14 @@
         return attempt
 
     async def _borrow(self) -> BorrowedConnection:
-        """Return a connection to an endpoint that takes new work once it is there.
+        """Return a connection to an endpoint that still accepts new work.
 
-        One that says that it leaves while a connection is waited for may be long gone
-        by its end, and one that names a limit may have had its fill, so another is
+        While this waits for a connection, the endpoint may announce that it is leaving
+        or reach a rate limit that it announces. In both cases another endpoint is
         chosen, and the first does not count as tried.
 
-        Errors: raises NotRun when there is no endpoint or no connection, or when too
-        many endpoints have ended under the request.
+        Errors: raises NotRun when there is no endpoint or no connection, or when the
+        request is quarantined.
         """
         if self.is_quarantined:
             raise NotRun("quarantined")
@@ -146,7 +147,7 @@
             if self._may_send(record) and not is_refused:
                 self.state.record_sent(record)
                 return BorrowedConnection(record, connection, began_at)
-            # Nothing was sent, so the connection is as good as it was.
+            # Nothing was sent, so the connection can be used again.
             self._count_end(record)
             self.state.pool_.release(record, connection)
             self.progress.tried_.pop()
@@ -154,20 +155,20 @@
                 raise NotRun("quarantined")
 
     def _may_send(self, record: EndpointRecord) -> bool:
-        """Tell whether an endpoint that was chosen before still takes a request."""
+        """Return whether an endpoint that was chosen before still takes a request."""
         return self.state.is_usable(record) and self.state.hold_s(record) <= 0.0
 
     @property
     def is_quarantined(self) -> bool:
-        """Tell whether too many endpoints have ended under the request."""
+        """Return whether the request crashed too many endpoints to run again now."""
         return self.state.quarantine_.verdict(self.progress.digest_).refuses
 
     def is_out_of_time(self) -> bool:
-        """Tell whether the request has to be ended now."""
+        """Return whether the request must be ended now to be answered in time."""
         return self.state.now() >= answer_due_at(self.progress.deadline_)
 
     def ask_retry(self, end: AttemptEnd, detail: str) -> RetryDecision:
-        """Return whether another attempt follows a failed one, and log it if so."""
+        """Decide whether a retry follows a failed attempt, and log it if so."""
         progress = self.progress
         match = progress.match_
         route = match.route
@@ -195,17 +196,20 @@
                 Event.ATTEMPT_RETRIED,
                 request=progress.request.request_id,
                 attempt=len(progress.tried_),
-                reason=detail[:RETRY_DETAIL_LOGGED],
+                reason=detail[:MAX_LOGGED_DETAIL_CHARS],
             )
         return decision
 
     def release(self, attempt: Attempt) -> None:
-        """Give the connection of an attempt back."""
+        """End an attempt and return its connection to the pool."""
         self._count_end(attempt.record)
         self.state.pool_.release(attempt.record, attempt.connection)
 
     def record_first_token(self, elapsed_s: float) -> None:
-        """Record that an engine has read the prompt, and how long it took."""
+        """Record that an engine has read the prompt, and how long it took.
+
+        Units: elapsed_s in seconds.
+        """
         if self.sent_prompt_ is not None:
             self.state.engines_.record_first_token(
                 self.sent_prompt_, elapsed_s * 1_000.0
@@ -221,7 +225,7 @@
         self.choice.tell_read()
 
     def _count_begin(self, record: EndpointRecord) -> float:
-        """Count an attempt that begins now, and return the moment."""
+        """Count an attempt that starts now, and return the current time."""
         self.progress.tried_.append(record.listed.endpoint_id)
         self.inputs.record_attempt()
         began_at = self.state.now()
@@ -238,7 +242,7 @@
         return began_at
 
     def _count_end(self, record: EndpointRecord) -> None:
-        """Count an attempt that is over."""
+        """Remove an attempt that has ended from the counts."""
         self.record_prompt_read()
         record.in_flight_ -= 1
         record.suspects_in_flight_ -= self.is_suspect_
@@ -261,7 +265,7 @@
             priority = min(PRIORITY_LOWEST, max(PRIORITY_HIGHEST, match.priority))
         return ForwardCall(
             endpoint_id=record.listed.endpoint_id,
-            remaining_ms=max(REMAINING_LEAST_MS, left_ms),
+            remaining_ms=max(MIN_REMAINING_MS, left_ms),
             workspace=match.workspace_id,
             priority=priority,
             inputs=self.inputs.handles(),
@@ -270,7 +274,11 @@
         )
 
     async def _check_head(self, attempt: Attempt) -> None:
-        """Raise what the head of an answer says against the attempt."""
+        """Raise if the head of an answer shows that the attempt failed.
+
+        Errors: raises NotRun when the head says that the request did not run,
+        ExchangeBroken when the answer may not be passed on.
+        """
         head = attempt.answer.head
         record = attempt.record
         record_head(self.state, record, head, sent_at=attempt.began_at)
@@ -280,9 +288,9 @@
         if head.not_run is None:
             return
         try:
-            await attempt.answer.wait_whole()
+            await attempt.answer.wait_until_complete()
         except ExchangeBroken:
-            # The head has said that nothing ran; what its body says is not needed.
+            # The head says that the request did not run; the body is not needed.
             pass
         finally:
             self.release(attempt)
@@ -295,7 +303,7 @@
     def _abandon(
         self, record: EndpointRecord, connection: EndpointConnection | None
     ) -> None:
-        """End an attempt whose answer did not begin."""
+        """End an attempt whose answer did not begin, and close its connection."""
         self._count_end(record)
         if connection is not None:
             connection.close()
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
@@ -1,7 +1,8 @@
-"""Choose the endpoint of an attempt: here, or by the entry that places for all.
+"""Choose the endpoint of an attempt, at this entry or by asking the placing entry.
 
-Puts what this entry knows to the rules of `leadford.forwarding.endpoints`. The prompts
-of a large fleet are placed by one entry, which is asked over `state.placing_`.
+Applies the rules of `leadford.forwarding.endpoints` to what this entry knows. In a
+large fleet one entry places the prompts of all entries; it is asked through
+`state.placing_`.
 """
 
 import asyncio
@@ -15,8 +16,9 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding.batching import RequestInputs
 
-# Seconds between looks for an endpoint while all ask for a pause: others may join.
-HELD_LOOK_S = 0.1
+# Seconds between checks for an endpoint while all ask for a pause; new endpoints may
+# join meanwhile.
+HELD_POLL_INTERVAL_S = 0.1
 
 
 class EndpointChoice:
@@ -31,7 +33,7 @@
         self.tell_read_: Callable[[], None] | None = None
 
     def choose(self) -> EndpointRecord | None:
-        """Return the endpoint that another attempt would ask."""
+        """Return the endpoint that this entry chooses for another attempt."""
         state = self.state
         service = self.progress.match_.service
         now = state.now()
@@ -45,51 +47,54 @@
                 self.progress.request.prompt,
                 excluded=tried,
                 bytes_by_hall=self.inputs.bytes_by_hall(),
-                knows_all=self._knows_all(),
+                knows_all=self._places_for_all(),
                 now=now,
             )
         return state.chooser_.choose(records, excluded=tried, now=now)
 
     def _records(self) -> list[EndpointRecord]:
-        """Return the endpoints that take a request of this entry now."""
+        """Return the endpoints that accept a request of this entry now."""
         service_id = self.progress.match_.service.service_id
         return [r for r in self.state.usable(service_id) if self._may_use(r)]
 
     def endpoints_left(self) -> int:
-        """Return how many endpoints the next attempt may ask; no more than matter."""
+        """Return how many endpoints the next attempt may use.
+
+        The count stops at `ENDPOINTS_FOR_ANOTHER`; a larger one makes no difference.
+        """
         tried = self.progress.tried_
         service_id = self.progress.match_.service.service_id
-        left = 0
+        count = 0
         for record in self.state.usable(service_id):
             if record.listed.endpoint_id in tried or not self._may_use(record):
                 continue
-            left += 1
-            if left >= ENDPOINTS_FOR_ANOTHER:
+            count += 1
+            if count >= ENDPOINTS_FOR_ANOTHER:
                 break
-        return left
+        return count
 
     @property
     def runs_apart(self) -> bool:
-        """Tell whether an endpoint has ended under the request before."""
+        """Return whether the request is suspected of crashing endpoints."""
         return self.state.quarantine_.is_suspect(self.progress.digest_)
 
     def _choose_apart(
         self, records: Sequence[EndpointRecord], now: float
     ) -> EndpointRecord | None:
-        """Return an endpoint apart from other requests under suspicion."""
+        """Return an endpoint with the fewest other suspected requests."""
         tried = self.progress.tried_
-        left = [r for r in records if r.listed.endpoint_id not in tried]
-        trusted = [record for record in left if not record.is_suspect(now)]
-        by_id = {record.listed.endpoint_id: record for record in trusted or left}
+        untried = [r for r in records if r.listed.endpoint_id not in tried]
+        trusted = [record for record in untried if not record.is_suspect(now)]
+        by_id = {record.listed.endpoint_id: record for record in trusted or untried}
         suspects_by_id = {
             endpoint_id: record.suspects_in_flight_
             for endpoint_id, record in by_id.items()
         }
-        found = choose_apart(suspects_by_id, self.state.random)
-        return by_id[found] if found is not None else None
+        chosen_id = choose_apart(suspects_by_id, self.state.random)
+        return by_id[chosen_id] if chosen_id is not None else None
 
-    def _knows_all(self) -> bool:
-        """Tell whether this entry places the prompts of all at the service."""
+    def _places_for_all(self) -> bool:
+        """Return whether this entry places the prompts of all entries."""
         placing = self.state.placing_
         service = self.progress.match_.service
         if placing is None or not placing.takes(service):
@@ -97,17 +102,24 @@
         return placing.knows_all(service.service_id, self.progress.request.prompt)
 
     def _is_placed_elsewhere(self) -> bool:
-        """Tell whether another entry chooses the endpoint.
+        """Return whether another entry chooses the endpoint.
 
-        Where a request under suspicion goes is decided at each entry.
+        Each entry chooses the endpoints for its own suspected requests.
         """
         placing = self.state.placing_
         if placing is None or self.runs_apart:
             return False
-        return placing.takes(self.progress.match_.service) and not self._knows_all()
+        return (
+            placing.takes(self.progress.match_.service) and not self._places_for_all()
+        )
 
     async def choose_by(self, wait_until: float) -> EndpointRecord | None:
-        """Return the endpoint to ask, waiting a little while all ask for a pause."""
+        """Return the endpoint to use, waiting while all ask for a pause.
+
+        Returns None if there is none or if the pause lasts beyond `wait_until`.
+
+        Units: wait_until in seconds of the monotonic clock.
+        """
         service_id = self.progress.match_.service.service_id
         while True:
             record = await self.choose_placed()
@@ -116,29 +128,29 @@
             hold_s = self.state.service_hold_s(service_id)
             if hold_s <= 0.0 or self.state.now() + hold_s > wait_until:
                 return None
-            await asyncio.sleep(min(hold_s, HELD_LOOK_S))
+            await asyncio.sleep(min(hold_s, HELD_POLL_INTERVAL_S))
 
     async def choose_placed(self) -> EndpointRecord | None:
-        """Return the endpoint to ask, at engines the one that another entry chose."""
+        """Return the endpoint to use, chosen by the placing entry if there is one."""
         if not self._is_placed_elsewhere():
             return self.choose()
         placed = await self.state.placing_.place(
             self.progress.match_.service.service_id,
             self.progress.request.prompt,
-            excluded={*self.progress.tried_, *self._not_to_be_placed()},
+            excluded={*self.progress.tried_, *self._excluded_from_placement()},
             bytes_by_hall=self.inputs.bytes_by_hall(),
         )
         if placed is None:
             return self.choose()
         if not self._may_use(placed.record):
-            # Another request took what the endpoint bears while the answer travelled.
+            # The endpoint reached its limit while the answer was under way.
             placed.tell_read()
             return self.choose()
         self.tell_read_ = placed.tell_read
         return placed.record
 
-    def _not_to_be_placed(self) -> set[EndpointId]:
-        """Return endpoints that this entry suspects, or may send nothing to now."""
+    def _excluded_from_placement(self) -> set[EndpointId]:
+        """Return endpoints that this entry suspects or may not send to now."""
         now = self.state.now()
         return {
             record.listed.endpoint_id
@@ -147,10 +159,10 @@
         }
 
     def _may_use(self, record: EndpointRecord) -> bool:
-        """Tell whether an endpoint takes a request of this entry now.
+        """Return whether an endpoint accepts a request of this entry now.
 
-        A cold or limited one takes it only where this entry has a part of what it bears
-        that is not used up.
+        A cold or rate-limited endpoint accepts it only while this entry has not used up
+        its share of the limit.
         """
         if self.state.hold_s(record) > 0.0:
             return False
@@ -158,7 +170,7 @@
         return self.state.cold_.may_use(record, limits, self.state.now())
 
     def tell_read(self) -> None:
-        """Tell the entry that placed the prompt that it waits there no more."""
+        """Notify the placing entry that the prompt no longer waits at its engine."""
         if self.tell_read_ is not None:
             self.tell_read_()
             self.tell_read_ = None
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_evidence.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_evidence.py
@@ -1,8 +1,8 @@
-"""Record what the attempts of one request show of their endpoints.
+"""Record what the attempts of one request show about their endpoints.
 
-Answers and failures go to the record of the endpoint, which may become suspect; a
-connection that the endpoint closed under the request is a case against the request too.
-What follows is decided in `leadford.forwarding.endpoints` and `leadford.quarantine`.
+Answers and failures go to the record of the endpoint, which may become suspect. A
+connection that the endpoint closed while it ran the request is also a case against the
+request. `leadford.forwarding.endpoints` and `leadford.quarantine` decide what follows.
 """
 
 from leadford.events import Event
@@ -12,19 +12,19 @@
 from leadford_server.forwarding.endpoints import ConnectionEnd
 from leadford_server.forwarding.retries._attempt import Attempt, BorrowedConnection
 
-# What the connections of a process end by that ends itself.
-ENDS_OF_PROCESSES = frozenset({ConnectionEnd.CLOSED, ConnectionEnd.RESET})
+# How a connection ends when the process at its other end exits.
+PROCESS_EXIT_ENDS = frozenset({ConnectionEnd.CLOSED, ConnectionEnd.RESET})
 
 
 class EndpointEvidence:
-    """Record what one request shows of endpoints."""
+    """Record what one request shows about endpoints."""
 
     def __init__(self, *, state: ForwardState, progress: RequestProgress) -> None:
         self.state = state
         self.progress = progress
 
     def record_answer(self, attempt: Attempt) -> None:
-        """Record what a whole answer shows of its endpoint."""
+        """Record what a complete answer shows about its endpoint."""
         if attempt.is_error:
             self.record_failure(attempt.record, EndpointFailure.ERROR_STATUS)
             return
@@ -47,13 +47,14 @@
             )
 
     def record_alive(self, record: EndpointRecord, sent_at: float) -> None:
-        """Record that an endpoint answered what was sent at a moment."""
+        """Record that an endpoint answered a request that was sent at `sent_at`."""
         self.state.quarantine_.record_alive(record.listed.endpoint_id, sent_at)
 
     def record_broken(self, attempt: Attempt) -> None:
-        """Record that an answer broke off; call it before the connection is released.
+        """Record that the connection broke within an answer.
 
-        An answer that merely stays silent has not broken off.
+        Call it before the connection is released. Does nothing if the answer only timed
+        out.
         """
         if not attempt.answer.reader.is_broken_:
             return
@@ -63,10 +64,10 @@
         )
 
     def record_lost(self, lost: BorrowedConnection, *, has_head: bool) -> None:
-        """Record and log that the connection of an attempt ended before its answer.
+        """Record and log that the connection of an attempt ended before its answer did.
 
-        Without the line it cannot be told afterwards which requests ran at an endpoint
-        that ended, nor how far each had come.
+        The log line is the only record of which requests ran at an endpoint that
+        crashed, and of how far each had progressed.
         """
         progress = self.progress
         listed = lost.record.listed
@@ -85,7 +86,7 @@
             has_events=has_events,
             ran_ms=round((now - lost.began_at) * 1_000.0),
         )
-        if end in ENDS_OF_PROCESSES:
+        if end in PROCESS_EXIT_ENDS:
             self.state.quarantine_.record_lost(
                 progress.digest_, listed.endpoint_id, is_under_way=has_events
             )
