--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
@@ -141,7 +141,7 @@
     run(scenario())
 
 
-def test_bytes_while_idle_spoil_the_connection():
+def test_a_close_while_idle_makes_the_connection_unusable():
     async def scenario():
         async with Endpoint(answer()) as endpoint:
             connection = await endpoint.connect()
