--- a/packages/leadford/src/leadford/forwarding/retries/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/retries/__init__.py
@@ -1,7 +1,7 @@
-"""Decide what may follow a failed attempt of a forwarded request, and how long to wait.
+"""Decide whether to retry a failed attempt, and how long to wait for an attempt.
 
-`_decision` says whether another attempt is made, `_limits` until when an attempt is
-waited for, `_budget` how many further attempts the fleet may make.
+`_decision` decides whether a forwarded request gets another attempt, `_limits` until
+when to wait for an attempt, and `_budget` how many retries the fleet may send.
 """
 
 from leadford.forwarding.retries._budget import RetryBudgets, WindowedRetryBudget
--- a/packages/leadford/src/leadford/forwarding/retries/_budget.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_budget.py
@@ -1,7 +1,7 @@
-"""Bound further attempts over a sliding window, as a share of a fleet's budget.
+"""Limit the retries of an entry in a sliding window, as its share of a fleet's budget.
 
-One budget a service, held by each entry; `_decision` spends it. The settings of the
-deployment give ratio, slack and window.
+Each entry holds one budget per service; `_decision` spends it. The settings of the
+deployment define ratio, slack and window.
 """
 
 from collections import deque
@@ -9,16 +9,17 @@
 
 from leadford.forwarding.routes import ServiceId
 
-# Part of the allowance that is spent at most, for clocks of entries that disagree.
+# Fraction of the allowance that may be spent, in case clocks of entries disagree.
 USABLE_FRACTION = 0.85
 
 
 class WindowedRetryBudget:
-    """Allow a share of the fleet's repeats in each window.
+    """Allow an entry its share of the fleet's retries in each window.
 
-    The fleet may repeat `ratio` of its requests and `slack` more in any window. Each of
-    `entry_count` entries counts its own requests and takes an equal part of the slack,
-    so no message is needed. A part is left unspent for clocks that disagree.
+    In any window the fleet may retry a fraction `ratio` of its requests, and `slack`
+    more. Each of `entry_count_` entries counts its own requests and takes an equal part
+    of the slack, so the entries exchange no messages. A part of the allowance stays
+    unspent, in case clocks disagree.
 
     Units: window_s in seconds.
     """
@@ -29,39 +30,39 @@
         self.window_s = window_s
         self.entry_count_ = 1
         self.requests_: deque[float] = deque()
-        self.repeats_: deque[float] = deque()
+        self.retries_: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
         """Count one request of a caller."""
         self.requests_.append(now)
 
-    def record_repeat(self, now: float) -> None:
-        """Count one repeat that was sent."""
-        self.repeats_.append(now)
+    def record_retry(self, now: float) -> None:
+        """Count one retry that is sent."""
+        self.retries_.append(now)
 
     def allows(self, now: float) -> bool:
-        """Tell whether another repeat fits in the window that ends now."""
+        """Tell whether another retry fits in the window that ends now."""
         window_start = now - self.window_s
-        for times in (self.requests_, self.repeats_):
+        for times in (self.requests_, self.retries_):
             while times and times[0] < window_start:
                 times.popleft()
         allowed = self.ratio * len(self.requests_) + self.slack / max(
             1, self.entry_count_
         )
-        return len(self.repeats_) + 1 <= allowed * USABLE_FRACTION
+        return len(self.retries_) + 1 <= allowed * USABLE_FRACTION
 
     def try_spend(self, now: float) -> bool:
-        """Spend one repeat if the budget allows it."""
+        """Spend one retry if the budget allows it."""
         if not self.allows(now):
             return False
-        self.record_repeat(now)
+        self.record_retry(now)
         return True
 
 
 class RetryBudgets:
     """Hold the budget of each service.
 
-    `make` returns a new budget by the settings in force.
+    `make` returns a new budget with the current settings.
     """
 
     def __init__(self, *, make: Callable[[], WindowedRetryBudget]) -> None:
@@ -79,7 +80,7 @@
         return budget
 
     def set_entry_count(self, count: int) -> None:
-        """Split the budgets of the fleet over so many entries."""
+        """Split the budgets of the fleet over `count` entries."""
         self.entry_count_ = count
         for budget in self.budgets_by_service_.values():
             budget.entry_count_ = count
--- a/packages/leadford/src/leadford/forwarding/retries/_decision.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_decision.py
@@ -1,10 +1,10 @@
 """Decide whether a request gets another attempt after one that failed.
 
 Called by the request forwarder after each failed attempt, of plain requests and streams
-alike. It decides from what is known of the failed attempt, the bounds of the route, the
-time that is left, the endpoints not tried yet, and the retry budget of the service,
-which an allowed attempt spends. What the caller is told when there is no other attempt
-is left to `answers`; how long the next one may take to `_limits`.
+alike. The decision uses what is known of the failed attempt, the limits of the route,
+the remaining time, the endpoints not tried yet, and the retry budget of the service,
+from which each allowed attempt is spent. The answer to the caller when there is no
+other attempt is left to `answers`, and the time limit of the next one to `_limits`.
 """
 
 from collections.abc import Callable
@@ -14,13 +14,13 @@
 
 from leadford.forwarding.retries._budget import WindowedRetryBudget
 
-# Times that the inputs of one request are made again because an endpoint says that they
-# are gone.
+# The inputs of one request are recomputed at most this many times because an endpoint
+# reports that they are gone.
 INPUT_REMAKES_MAX = 2
 
 
 class AttemptEnd(Enum):
-    """Say what is known of an attempt that did not serve its request."""
+    """Name what is known of an attempt that did not serve its request."""
 
     NOT_RUN = "not-run"
     INPUTS_GONE = "inputs-gone"
@@ -29,7 +29,7 @@
 
 
 class RetryReason(Enum):
-    """Say which rule decided."""
+    """Name the rule that decided."""
 
     INPUTS_REMADE = "inputs-remade"
     QUARANTINED = "quarantined"
@@ -42,11 +42,12 @@
 
 
 class FailedAttempt(msgspec.Struct, frozen=True):
-    """Hold a failed attempt and the bounds of its request.
+    """Hold a failed attempt and the limits of its request.
 
-    `may_have_run` counts earlier attempts too. `attempts` counts those begun, the
-    failed one included; `input_remakes` counts how often inputs were made again
-    already. `is_quarantined` is true where too many endpoints ended under the request.
+    `may_have_run` covers earlier attempts too. `attempts` counts the attempts started,
+    including the failed one; `input_remakes` counts how often inputs were recomputed
+    already. `is_quarantined` is true if too many endpoints crashed while they ran the
+    request.
 
     Units: now and deadline in seconds of the monotonic clock.
     """
@@ -64,10 +65,10 @@
 
 
 class RetryDecision(msgspec.Struct, frozen=True):
-    """Say whether to try again, and by which rule.
+    """Hold whether to retry, and the rule that decided.
 
-    `keeps_endpoint` is true where the failed attempt does not count: its inputs are
-    made again, and the same endpoint may be asked.
+    `keeps_endpoint` is true if the failed attempt does not count: its inputs are
+    recomputed, and the same endpoint may be tried again.
     """
 
     retry: bool
@@ -75,7 +76,7 @@
 
     @property
     def keeps_endpoint(self) -> bool:
-        """Tell whether the failed attempt does not count as one."""
+        """Tell whether the failed attempt does not count as an attempt."""
         return self.reason is RetryReason.INPUTS_REMADE
 
 
@@ -85,10 +86,10 @@
     has_other_endpoint: Callable[[], bool],
     budget: WindowedRetryBudget,
 ) -> RetryDecision:
-    """Return whether another attempt is made, and spend the budget if it is.
+    """Return whether to make another attempt, and spend the budget if so.
 
-    `has_other_endpoint` is asked only once route and time allow an attempt: the choice
-    of an endpoint draws at random.
+    `has_other_endpoint` is called only if route and time allow an attempt, because the
+    choice of an endpoint draws random numbers.
     """
     if failed.is_quarantined:
         return RetryDecision(False, RetryReason.QUARANTINED)
--- a/packages/leadford/src/leadford/forwarding/retries/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_limits.py
@@ -1,9 +1,9 @@
-"""Decide until when a request, an attempt and a silent stream are waited for.
+"""Decide until when to wait for a request, an attempt and a silent stream.
 
-Called by the request forwarder before it waits. Waiting is cut short only where another
-attempt may follow: silence gives no reason to end a request that may not be repeated,
-or the last attempt of one that may. Whether another attempt is made is left to
-`_decision`.
+Called by the request forwarder before it waits. The wait ends before the deadline only
+if another attempt may follow: silence is no reason to end a request that may not be
+repeated, or the last attempt of one that may. Whether another attempt is made is left
+to `_decision`.
 """
 
 from collections.abc import Iterable
@@ -13,35 +13,37 @@
 from leadford.forwarding.endpoints import EndpointRecord
 from leadford.forwarding.routes import Route
 
-# Seconds before the deadline at which a request is ended, so that its answer still
-# reaches the caller in time.
+# A request ends this long before its deadline, so that its answer reaches the caller in
+# time.
 ANSWER_MARGIN_S = 0.03
-# Part of the time left that an attempt of a safe request gets while others may follow.
+# Fraction of the remaining time that an attempt of a safe request gets while others may
+# follow.
 PLAIN_TIME_FRACTION = 0.45
-# Times of what endpoints of the service usually take, after which a safe request is
-# tried elsewhere.
+# A safe request is tried elsewhere after this multiple of the usual duration at the
+# service's endpoints.
 PLAIN_USUAL_FACTOR = 3.5
-# Seconds. No attempt is given up earlier, however fast endpoints are.
+# No attempt is given up earlier, however fast the endpoints are.
 PLAIN_MIN_S = 0.06
-# Answers that an endpoint must have given before its time counts as usual.
+# Answers that an endpoint must have given before its latency is used as usual duration.
 USUAL_MIN_ANSWER_COUNT = 3
-# Aimed pauses between events that a stream may stay silent.
+# A stream may be silent for this multiple of the target gap between events.
 STREAM_GAP_FACTOR = 2.0
-# Seconds. No stream is given up earlier for silence.
+# No stream is given up for a shorter silence.
 STREAM_SILENCE_MIN_S = 1.0
-# Endpoints that must be left for an attempt and another one after it.
+# Endpoints that must remain for an attempt and another one after it.
 ENDPOINTS_FOR_ANOTHER = 2
-# Part of a route's aim for which a request waits until an endpoint takes one again. A
-# request whose stages are made waits for longer: a refusal would waste them.
+# Fraction of a route's latency target for which a request waits until an endpoint takes
+# requests again. A request with stages waits longer, because a refusal would waste the
+# results of its stages.
 HELD_FRACTION = 0.25
 HELD_FRACTION_WITH_STAGES = 1.0
 
 
 class AttemptTiming(msgspec.Struct, frozen=True):
-    """Hold what bounds the wait for one attempt.
+    """Hold what limits the wait for one attempt.
 
-    `attempt` is the number of the attempt, counted from 1; `endpoints_left` are those
-    that it and later ones may ask.
+    `attempt` is the number of the attempt, counted from 1; `endpoints_left` is the
+    number of endpoints that it and later attempts may use.
 
     Units: now and deadline in seconds of the monotonic clock.
     """
@@ -53,7 +55,7 @@
 
 
 def request_deadline(route: Route, asked_ms: float | None, received_at: float) -> float:
-    """Return when a request has to be answered, by its route and its caller.
+    """Return the deadline of a request, by the timeouts of its route and its caller.
 
     Units: seconds of the monotonic clock.
     """
@@ -64,12 +66,12 @@
 
 
 def answer_due_at(deadline: float) -> float:
-    """Return when a request is ended, so that its answer is there by the deadline."""
+    """Return when to end a request so that its answer arrives by the deadline."""
     return deadline - ANSWER_MARGIN_S
 
 
 def held_limit_s(route: Route) -> float:
-    """Return for how long a request waits while endpoints ask for a pause.
+    """Return how long a request waits while endpoints ask for a pause.
 
     Units: seconds.
     """
@@ -77,26 +79,29 @@
     return aim_s * (HELD_FRACTION_WITH_STAGES if route.stages else HELD_FRACTION)
 
 
-def plain_limit_at(route: Route, timing: AttemptTiming, usual: float | None) -> float:
-    """Return until when an answer of a plain request is waited for.
+def plain_limit_at(
+    route: Route, timing: AttemptTiming, usual_duration_s: float | None
+) -> float:
+    """Return until when to wait for the answer to a plain request.
 
-    `usual` is what endpoints of the service usually take, None while it is not known.
+    `usual_duration_s` is the usual duration at the endpoints of the service, or None
+    while it is unknown.
 
     Units: seconds; the result is a moment of the monotonic clock.
     """
     if not _allows_another_attempt(route, timing):
         return timing.deadline
     limit_s = (timing.deadline - timing.now) * PLAIN_TIME_FRACTION
-    if usual is not None:
-        limit_s = min(limit_s, max(PLAIN_MIN_S, usual * PLAIN_USUAL_FACTOR))
+    if usual_duration_s is not None:
+        limit_s = min(limit_s, max(PLAIN_MIN_S, usual_duration_s * PLAIN_USUAL_FACTOR))
     return timing.now + limit_s
 
 
 def silence_limit_at(route: Route, timing: AttemptTiming, *, has_begun: bool) -> float:
-    """Return until when a stream is waited for to say something.
+    """Return until when to wait for the next event of a stream.
 
-    `has_begun` is true once the caller has got a part of the answer; before that the
-    engine reads the prompt, which may take as long as the route aims at.
+    `has_begun` is true once the caller has received a part of the answer. Before that
+    the engine reads the prompt, which may take as long as the route's latency target.
 
     Units: a moment of the monotonic clock in seconds.
     """
@@ -111,7 +116,7 @@
 
 
 def usual_s(records: Iterable[EndpointRecord]) -> float | None:
-    """Return how long the fastest known endpoint usually takes, once one is known.
+    """Return the usual duration at the fastest endpoint, or None if none is known.
 
     Units: seconds.
     """
@@ -124,7 +129,7 @@
 
 
 def _allows_another_attempt(route: Route, timing: AttemptTiming) -> bool:
-    """Tell whether route, count and endpoints leave another attempt."""
+    """Tell whether route, attempt count and endpoints allow another attempt."""
     if timing.endpoints_left < ENDPOINTS_FOR_ANOTHER:
         return False
     return route.is_repeatable and timing.attempt < route.attempts_max
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_budget.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Repeats of all entries together stay within the common budget of each window."""
+"""Retries of all entries together stay within the fleet's budget in each window."""
 
 from hypothesis import given, strategies as st
 
@@ -36,17 +36,17 @@
     for budget in budgets:
         budget.entry_count_ = 4
     now = 0.0
-    requests, repeats = [], []
-    for entry, is_repeat, gap in events:
-        now += gap
-        if not is_repeat:
+    requests, retries = [], []
+    for entry, is_retry, gap_s in events:
+        now += gap_s
+        if not is_retry:
             budgets[entry].record_request(now)
             requests.append(now)
         elif budgets[entry].try_spend(now):
-            repeats.append(now)
-        recent = [at for at in repeats if at >= now - window_s]
-        fresh = [at for at in requests if at >= now - window_s]
-        assert len(recent) <= ratio * len(fresh) + slack
+            retries.append(now)
+        recent_retries = [at for at in retries if at >= now - window_s]
+        recent_requests = [at for at in requests if at >= now - window_s]
+        assert len(recent_retries) <= ratio * len(recent_requests) + slack
 
 
 def test_each_service_has_a_budget_and_all_are_shared_by_the_entries():
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_decision.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_decision.py
@@ -1,4 +1,4 @@
-"""A request gets another attempt only where that is safe, in time and affordable."""
+"""A request is retried only if that is safe, in time and within the budget."""
 
 import msgspec
 import pytest
@@ -28,7 +28,7 @@
     budget = WindowedRetryBudget(ratio=0.0, slack=slack, window_s=10.0)
     failed = msgspec.structs.replace(FAILED, **changes)
     decision = decide_retry(failed, has_other_endpoint=lambda: others, budget=budget)
-    return decision, len(budget.repeats_)
+    return decision, len(budget.retries_)
 
 
 @pytest.mark.parametrize("end", [AttemptEnd.NOT_RUN, AttemptEnd.MAY_HAVE_RUN])
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Waiting is cut short only where another attempt may follow."""
+"""A wait ends before the deadline only if another attempt may follow."""
 
 import msgspec
 import pytest
@@ -56,11 +56,13 @@
 
 
 @pytest.mark.parametrize(
-    "usual, expected",
+    "usual_duration_s, expected",
     [(None, 11.8), (0.1, 10.35), (0.001, 10.06), (2.0, 11.8)],
 )
-def test_a_safe_request_waits_by_what_is_usual_and_by_its_time(usual, expected):
-    assert plain_limit_at(SAFE, TIMING, usual) == pytest.approx(expected)
+def test_a_safe_request_waits_by_what_is_usual_and_by_its_time(
+    usual_duration_s, expected
+):
+    assert plain_limit_at(SAFE, TIMING, usual_duration_s) == pytest.approx(expected)
 
 
 def test_the_last_attempt_and_what_may_not_be_repeated_wait_to_the_deadline():
