--- a/packages/leadford/src/leadford/forwarding/batching/_backlog.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_backlog.py
@@ -66,9 +66,9 @@
 
     def add(self, key: BacklogKey, pieces: int) -> None:
         """Count pieces that this entry admitted; a negative count removes pieces."""
-        left = self.own_by_key_.get(key, 0) + pieces
-        if left > 0:
-            self.own_by_key_[key] = left
+        remaining = self.own_by_key_.get(key, 0) + pieces
+        if remaining > 0:
+            self.own_by_key_[key] = remaining
         else:
             self.own_by_key_.pop(key, None)
 
--- a/packages/leadford/src/leadford/forwarding/batching/_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_filling.py
@@ -135,13 +135,13 @@
     This matters for a stage with many endpoints where whole requests leave places of
     each call empty, such as requests of six pieces in calls of 16.
     """
-    others = [
+    others_free_in_s = [
         capacities.capacity(other.listed.endpoint_id, limits).free_in_s(now)
         for other in records
         if other is not record
     ]
     return (
-        min(others, default=float("inf"))
+        min(others_free_in_s, default=float("inf"))
         <= SPLIT_MAX_WAIT_FRACTION * limits.full_call_s
     )
 
--- a/packages/leadford/src/leadford/forwarding/batching/_throughput.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_throughput.py
@@ -32,7 +32,7 @@
 class _Sample(msgspec.Struct, frozen=True):
     """Hold the pieces computed up to a time, and whether the stage was behind then."""
 
-    at: float
+    sampled_at: float
     made: int
     less_urgent: int
     is_behind: bool
@@ -60,18 +60,20 @@
         """
         is_behind = full_round > 0 and waiting >= BEHIND_MIN_FRACTION * full_round
         self.samples_.append(_Sample(now, self.made_, self.less_urgent_, is_behind))
-        while self.samples_[0].at < now - RATE_WINDOW_S:
+        while self.samples_[0].sampled_at < now - RATE_WINDOW_S:
             self.samples_.popleft()
 
     def rate(self, now: float) -> MadeRate | None:
         """Return the throughput if the group was behind all the time, else None."""
         samples = [
-            sample for sample in self.samples_ if sample.at >= now - RATE_WINDOW_S
+            sample
+            for sample in self.samples_
+            if sample.sampled_at >= now - RATE_WINDOW_S
         ]
         if not samples or not all(sample.is_behind for sample in samples):
             return None
         first, last = samples[0], samples[-1]
-        span_s = last.at - first.at
+        span_s = last.sampled_at - first.sampled_at
         if span_s < RATE_MIN_SPAN_S:
             return None
         return MadeRate(
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_halls.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_halls.py
@@ -47,7 +47,7 @@
         self.moved_bytes = 0
         self.input_bytes = 0
         self.waits_s = []
-        self.dispatch_at = float("inf")
+        self.next_dispatch_at = float("inf")
 
     def run(self):
         """Replay all requests until each piece has been sent."""
@@ -64,8 +64,8 @@
             elif kind == 1:
                 endpoint_id = self.records[number].listed.endpoint_id
                 self.capacities.capacity(endpoint_id, LIMITS).end(0)
-            if now >= self.dispatch_at:
-                self.dispatch_at = float("inf")
+            if now >= self.next_dispatch_at:
+                self.next_dispatch_at = float("inf")
             self._dispatch(now)
         assert len(self.queue) == 0
         return self
@@ -85,15 +85,15 @@
                 self._send(decision, now)
                 continue
             if decision.action is FillAction.WAIT_FOR_MORE:
-                self._dispatch_at(now + decision.wait_s + 0.001)
+                self._schedule_dispatch(now + decision.wait_s + 0.001)
             elif decision.action is FillAction.LOOK_AGAIN:
-                self._dispatch_at(now + CHECK_INTERVAL_S)
+                self._schedule_dispatch(now + CHECK_INTERVAL_S)
             return
 
-    def _dispatch_at(self, event_at):
+    def _schedule_dispatch(self, event_at):
         """Schedule a dispatch, unless an earlier one is scheduled."""
-        if event_at < self.dispatch_at:
-            self.dispatch_at = event_at
+        if event_at < self.next_dispatch_at:
+            self.next_dispatch_at = event_at
             self._schedule(event_at, 2, 0)
 
     def _send(self, decision, now):
