--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
@@ -174,7 +174,7 @@
             if not self._knows(follower, told):
                 if told.kind != self.config_kind:
                     # Changes travel before their confirmation, so one was missed.
-                    follower.hurry()
+                    follower.poll_now()
                 continue
             moment = clock.own_moment(told.confirmed_ms / 1_000.0)
             position = StorePosition(StoreEpoch(told.epoch), told.revision)
--- a/packages/leadford-server/src/leadford_server/forwarding/store/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/__init__.py
@@ -1,4 +1,4 @@
-"""Follow the store of the platform, and put in force what it says.
+"""Follow the platform's store and apply the objects read from it.
 
 How long calls wait is decided in `leadford.forwarding.membership`.
 """
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_base.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_base.py
@@ -1,4 +1,4 @@
-"""Say what the owner of a kind of object is told, and what followers do by default."""
+"""Define the interface of an owner of objects, and the defaults of followers."""
 
 from typing import Protocol
 
@@ -9,33 +9,33 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """Hold every object of a kind at a position in the history of the store."""
+    """Hold all objects of a kind as of a position in the history of the store."""
 
     items: list[dict]
     position: StorePosition
 
 
 class KindOwner(Protocol):
-    """Own what is known of one kind of object."""
+    """Own the state that is read from the objects of one kind."""
 
     def on_list(self, listing: Listing) -> None:
-        """Read a whole listing of the store."""
+        """Apply a complete listing of the store."""
 
     def on_event(self, event: ObjectEvent) -> None:
-        """Read one change after the listing."""
+        """Apply one change that follows the listing."""
 
     def on_confirmed(self) -> None:
-        """Record that the store has said that nothing is missing."""
+        """Record that the store has confirmed that no change is missing."""
 
 
-def never_rests() -> float:
-    """Return for how many seconds a follower asks nothing that follows by itself."""
+def zero_rest_s() -> float:
+    """Return the rest of a follower that polls the store itself: none."""
     return 0.0
 
 
-def tell_nobody(kind: str, after: StorePosition, seen: ObjectEvents) -> None:
-    """Tell nobody of changes."""
+def discard_changes(kind: str, after: StorePosition, seen: ObjectEvents) -> None:
+    """Discard changes: there is no entry to pass them on to."""
 
 
 def ignore_relayed(confirmed_at: float) -> None:
-    """Ignore when another entry was told that nothing is missing."""
+    """Ignore the time of a confirmation that another entry passed on."""
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
@@ -1,7 +1,7 @@
 """Call the platform's store, and log when it stops and starts to answer.
 
-`ObjectsClient` is the one client of the store; what it brings is decoded by the codec
-of the platform. A call lasts for as long as its answer arrives.
+`ObjectsClient` is the only client of the store; the codec of the platform decodes the
+responses. A call goes on for as long as bytes of its response keep arriving.
 """
 
 import asyncio
@@ -25,25 +25,25 @@
 )
 from leadford_server.web import NO_ANSWER, Patience, Transferred, fetch_while_arriving
 
-# Seconds that a call may take until its first byte, and its connection.
+# Timeouts of a call until the first byte of the response, and of its connection.
 CALL_S = 1.5
 CONNECT_S = 0.6
-# Seconds without a byte after which an answer that had begun to arrive is given up, and
-# the most that it may take in all.
+# Timeout between two bytes of a response that has begun to arrive, and the limit for
+# the whole response.
 STALL_S = 1.0
-ANSWER_MOST_S = 20.0
-# Characters of a fault that a log line holds.
-FAULT_LOGGED = 300
-# What the log names as the source of what the store itself has said.
+ANSWER_MAX_S = 20.0
+# An error message is cut to this length in a log line.
+FAULT_LOGGED_MAX_CHARS = 300
+# The source that the log names for data that comes from the store itself.
 FROM_STORE = "store"
 
 T = TypeVar("T")
 
 
 class ObjectsClient:
-    """Call the platform's store and tell when it stops and starts to answer.
+    """Call the platform's store and log when it stops and starts to answer.
 
-    `is_silent_` is True while the last call that ended had no answer at all.
+    `is_silent_` is True if the last finished call got no response at all.
     """
 
     def __init__(
@@ -74,9 +74,9 @@
         margin_s: float = CALL_S,
         is_fresh: bool = False,
     ) -> Result[StoreAnswer, StoreFailure]:
-        """Return a good answer, or what the store says instead.
+        """Return a successful response, or the reason why there is none.
 
-        With `is_fresh` a connection is opened for the call.
+        With `is_fresh` the call opens a new connection.
         """
         request = HTTPRequest(
             self.url + path,
@@ -90,7 +90,7 @@
             connect_s=CONNECT_S,
             first_s=wait_s + margin_s,
             stall_s=STALL_S,
-            whole_s=wait_s + ANSWER_MOST_S,
+            whole_s=wait_s + ANSWER_MAX_S,
         )
         answer = await fetch_while_arriving(
             self.http, request, patience, is_fresh=is_fresh
@@ -101,9 +101,9 @@
     def _sort(
         self, path: str, kind: str, answer: Transferred
     ) -> Result[StoreAnswer, StoreFailure]:
-        """Count an answer, and return what it says."""
+        """Count a response and return it, or the failure that its status stands for."""
         status = answer.status
-        if self._is_past(answer):
+        if self._is_past_epoch(answer):
             STORE_CALLS_TOTAL.labels(kind=kind, end="past").inc()
             return Failure(StoreFailure.PAST_EPOCH)
         good = 200 <= status < 300
@@ -114,7 +114,7 @@
             self._record(True, status)
             return Success(StoreAnswer(answer.body, self.epochs.current_))
         if status == NO_ANSWER:
-            # How often calls are made bounds the lines.
+            # The rate of calls bounds the number of these log lines.
             self.log.report(
                 Event.STORE_ANSWER_LOST,
                 path=path,
@@ -127,8 +127,8 @@
         self._record(failure is not StoreFailure.UNAVAILABLE, status)
         return Failure(failure)
 
-    def _is_past(self, answer: Transferred) -> bool:
-        """Record the epoch of an answer; tell whether its history is over."""
+    def _is_past_epoch(self, answer: Transferred) -> bool:
+        """Record the epoch of a response; return whether it belongs to a past epoch."""
         before = self.epochs.current_
         epoch = self.codec.read_epoch(answer.headers)
         age = self.epochs.record_answer(epoch)
@@ -139,7 +139,7 @@
         return age is AnswerAge.PAST
 
     def _record(self, answered: bool, status: int) -> None:
-        """Log when the store stops and starts to answer, and how long it did not."""
+        """Log when the store stops or starts to answer, and for how long it did not."""
         now = asyncio.get_running_loop().time()
         last_at = self.answered_at_
         self.is_silent_ = status == NO_ANSWER
@@ -158,15 +158,17 @@
 
 
 def readable(read: Result[T, str], log: EventLog) -> T | None:
-    """Return what an adapter has read; log an object that cannot be read."""
+    """Return what a codec has decoded; log an object that cannot be decoded."""
     if isinstance(read, Failure):
-        log.report(Event.CONFIG_UNREADABLE, error=str(read.failure())[:FAULT_LOGGED])
+        log.report(
+            Event.CONFIG_UNREADABLE, error=str(read.failure())[:FAULT_LOGGED_MAX_CHARS]
+        )
         return None
     return read.unwrap()
 
 
 def readable_record(read: Result[T, str], name: str, log: EventLog) -> T | None:
-    """Return a record that an adapter has read; log and count one that cannot be."""
+    """Return a record that a codec has decoded; log and count an unreadable one."""
     if isinstance(read, Failure):
         report_unreadable(read.failure(), log, name=name)
         return None
@@ -174,6 +176,8 @@
 
 
 def report_unreadable(fault: str, log: EventLog, *, name: str = "") -> None:
-    """Log and count a record that is passed over."""
+    """Log and count a record that is skipped because it cannot be read."""
     UNREADABLE_RECORDS_TOTAL.inc()
-    log.report(Event.RECORD_UNREADABLE, record=name, error=fault[:FAULT_LOGGED])
+    log.report(
+        Event.RECORD_UNREADABLE, record=name, error=fault[:FAULT_LOGGED_MAX_CHARS]
+    )
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_config.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_config.py
@@ -1,7 +1,8 @@
-"""Put configurations in force: from the store, or from a peer that knows better.
+"""Apply configurations from the store, or from a peer with a newer version.
 
-Owns the table of routes in force and when the store last confirmed it. The version in
-force only rises; a configuration that cannot be read leaves the last one in force.
+Owns the route table in force and the time at which the store last confirmed it. The
+version in force never decreases; after a configuration that cannot be read, the last
+one stays in force.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,7 @@
 class ConfigHolder:
     """Hold the configuration in force.
 
-    `on_change` is called after another one is in force.
+    `on_change` is called after a new configuration is in force.
     """
 
     def __init__(
@@ -32,22 +33,22 @@
         self.on_change = on_change
 
     def on_list(self, listing: Listing) -> None:
-        """Read a listing of the store."""
+        """Apply a listing of the store."""
         for item in listing.items:
             self._read(item)
 
     def on_event(self, event: ObjectEvent) -> None:
-        """Read one change in the store."""
+        """Apply one change in the store."""
         if not event.is_gone:
             self._read(event.item)
 
     def on_confirmed(self) -> None:
-        """Record that the store has said that nothing is missing."""
+        """Record that the store has confirmed that no change is missing."""
         if self.state.table_ is not None:
             self.state.config_seen_at_ = self.state.now()
 
     def on_relayed(self, confirmed_at: float) -> None:
-        """Record when another entry was told that nothing is missing here."""
+        """Record when the store confirmed to another entry that this one is current."""
         seen_at = self.state.config_seen_at_
         if self.state.table_ is not None:
             self.state.config_seen_at_ = max(confirmed_at, seen_at or confirmed_at)
@@ -55,7 +56,7 @@
     def apply(self, config: ForwardConfig, source: str) -> None:
         """Put a configuration in force unless it is older than the one in force.
 
-        `source` is the peer it came from, or `FROM_STORE`.
+        `source` is the peer that sent it, or `FROM_STORE`.
         """
         table = self.state.table_
         if table is not None and config.version <= table.config.version:
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_factory.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_factory.py
@@ -1,8 +1,8 @@
-"""Make the followers of the store, whose calls wait by the bounds of the deployment.
+"""Create followers of the store, with timeouts from the bounds of the deployment.
 
-Puts to the rules of `leadford.forwarding.membership` how long each call waits and how
-long a confirmation lets an entry rest, and joins followers with the relays that pass
-their news on.
+Applies the rules of `leadford.forwarding.membership` for how long each call waits and
+for how long an entry need not call the store after a confirmation, and connects
+followers to the relays that pass changes on between entries.
 """
 
 from collections.abc import Callable
@@ -24,39 +24,39 @@
 
 
 class Relays(Protocol):
-    """Pass on what the store says, and know who follows it."""
+    """Pass changes in the store on, and know which entries follow it."""
 
     follows: bool
     others_rest: bool
 
     def add(self, follower: KindFollower) -> None:
-        """Pass on the news of a follower, and give it those of others."""
+        """Pass a follower's changes on, and give it those from other entries."""
 
     def tell(self, kind: str, after: StorePosition, seen: ObjectEvents) -> None:
-        """Pass changes on that the store told this entry."""
+        """Pass changes on that this entry received from the store."""
 
 
 class NoRelays:
-    """Pass nothing on: each entry follows the store by itself."""
+    """Pass nothing on, where each entry follows the store itself."""
 
     follows = True
     others_rest = False
 
     def add(self, follower: KindFollower) -> None:
-        """Leave a follower alone."""
+        """Do nothing: a follower needs no relay."""
 
     def tell(self, kind: str, after: StorePosition, seen: ObjectEvents) -> None:
-        """Tell nobody of changes."""
+        """Do nothing: changes are not passed on."""
 
 
 NO_RELAYS = NoRelays()
 
 
 class FollowerFactory:
-    """Make followers whose calls wait by the bounds of the deployment.
+    """Create followers whose timeouts come from the bounds of the deployment.
 
-    The bounds, the count of live peers and whether this entry follows the store for
-    others are asked for before each call. `relays` passes on what the store says.
+    The bounds, the number of live peers and whether this entry follows the store for
+    others are read anew before each call. `relays` passes changes on to other entries.
     """
 
     def __init__(
@@ -85,10 +85,10 @@
         changes_pause_s: float = CHANGES_PAUSE_S,
         is_told_by_version: bool = False,
     ) -> KindFollower:
-        """Make a follower of a kind that a few entries follow for the others.
+        """Create a follower of a kind that a few entries follow for all others.
 
-        `bound_s` is the time within which a change has to be known; `watch_s` is how
-        long a watch waits where each entry follows by itself.
+        `bound_s` is the time within which an entry has to know of a change; `watch_s`
+        is how long a watch waits where each entry follows the store itself.
         """
         follower = KindFollower(
             kind=kind,
@@ -106,19 +106,19 @@
         self.relays.add(follower)
         return follower
 
-    def shared_watch_s(self, least_s: float) -> float:
-        """Return how long a watch waits where all entries follow and tell news."""
+    def shared_watch_s(self, min_s: float) -> float:
+        """Return how long a watch waits where all entries follow and share changes."""
         return watch_s(
-            least_s,
+            min_s,
             self.live_peers(),
             self.random.random(),
             resync_s=self.bounds().resync_s,
         )
 
     def _relayed_watch_s(
-        self, bound_s: float, alone_watch_s: Callable[[], float]
+        self, bound_s: float, own_watch_s: Callable[[], float]
     ) -> float:
         if not self.relays.others_rest:
-            return alone_watch_s()
+            return own_watch_s()
         resync_s = self.bounds().resync_s
         return follower_watch_s(bound_s, resync_s, self.random.random())
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
@@ -1,11 +1,11 @@
 """Follow the objects of a kind in the platform's store: list once, then watch.
 
-What is listed and watched goes to the owner of the kind. Where other entries follow the
-store and say what they hear (`_relays`), this one rests for as long as their newest
-confirmation is young enough. An entry alone catches up with a store that was away
-within the bound of the deployment: how long calls wait, and confirmations last, is
-decided in `leadford.forwarding.membership`, and put to it by `_factory`. Relies on
-`_client` for the calls.
+Passes listings and changes to the owner of the kind. Where other entries follow the
+store and pass changes on (`_relays`), this one rests, that is, makes no calls, for as
+long as their latest confirmation is recent enough. After an outage of the store, an
+entry on its own catches up within the bound of the deployment. How long calls wait and
+how long a confirmation is valid is decided in `leadford.forwarding.membership`;
+`_factory` applies these rules. `_client` makes the calls.
 """
 
 import asyncio
@@ -26,9 +26,9 @@
 from leadford_server.forwarding.store._base import (
     KindOwner,
     Listing,
+    discard_changes,
     ignore_relayed,
-    never_rests,
-    tell_nobody,
+    zero_rest_s,
 )
 from leadford_server.forwarding.store._client import (
     ObjectsClient,
@@ -37,42 +37,45 @@
 )
 from leadford_server.metrics import STORE_CHANGES_TOTAL, STORE_CONFIRM_GAP_SECONDS
 
-# Seconds that a watch waits in the store where no peers tell news, at most.
+# Longest wait of a watch in the store where no peers pass changes on.
 WATCH_S = 1.8
-# The same for the list of entries, which decides nothing in a hurry: peers say who
-# lives. A third of the watches then end 5.6 times less often; each is paid for.
+# The same for the list of entries, on which nothing urgent depends: heartbeats between
+# peers show who is alive. A third of the watches then end 5.6 times less often, and
+# each end of a watch has a cost.
 ENTRIES_WATCH_S = 10.0
-# Seconds within which a change of that list is known to entries that hear of it from
-# others; as long as a watch and a little more.
+# Time within which entries that do not follow the store know of a change in the list of
+# entries: the length of a watch and a margin.
 ENTRIES_KNOWN_S = 12.0
-# Seconds from the begin of a watch that brought changes to the next one. Changes that
-# follow each other are heard together: every entry pays for each end of a watch.
+# Minimum time from the start of a watch that returned changes to the next watch. This
+# batches changes that follow each other: each end of a watch costs every entry.
 CHANGES_PAUSE_S = 0.25
-# The same for the list of entries: those of a fleet that starts announce themselves
-# within a second, and each one's watch would end several times.
+# The same for the list of entries: all entries of a fleet that starts announce
+# themselves within a second, which would end the watch of each one several times.
 ENTRIES_PAUSE_S = 1.0
-# Seconds between calls that fail, doubled up to the most.
+# Pause between failed calls, doubled after each one up to the maximum.
 RETRY_MIN_S = 0.1
 RETRY_MAX_S = 0.8
-# The same as a part of its rest for an entry that rests while others follow: its next
-# call, spread by 1.2, is over within the bound that the rest leaves.
-RESTING_RETRY_PART = 0.5
-# Seconds of a rest that are not waited for: rounding may leave no time to pass.
-LEAST_REST_S = 0.001
-# Seconds over which entries that rest list anew once the store began another history.
+# Maximum pause of an entry that rests while others follow, as a fraction of its rest.
+# With the jitter factor of up to 1.2, its next call still ends within the bound that
+# the rest leaves.
+RESTING_RETRY_FRACTION = 0.5
+# A rest shorter than this is skipped: rounding may leave no time to wait for.
+MIN_REST_S = 0.001
+# Resting entries spread their new listings over this time once the store has begun
+# another history.
 RELIST_SPREAD_S = 0.5
 
 
 class KindFollower:
     """Keep the owner of one kind up to date.
 
-    Before each call it asks how many seconds it waits: `watch_s` for a watch, `call_s`
-    until the first byte of a call that waits for no change. `rest_s` says for how many
-    seconds a confirmation lets this entry ask nothing, 0 where it follows by itself;
-    `tell` is given the changes that the store told this entry, `on_relayed` is told
-    when the store confirmed to another one that nothing is missing here. With
-    `is_told_by_version` others tell by a version of the object what they know, which
-    holds over all histories of the store.
+    The waits are read anew before each call: `watch_s` for a watch, `call_s` until the
+    first byte of a call that does not wait for a change. `rest_s` returns for how many
+    seconds after a confirmation this entry makes no calls, 0 where it follows the store
+    itself. `tell` receives the changes that the store sent to this entry; `on_relayed`
+    receives the time at which the store confirmed to another entry that this one is
+    current. With `is_told_by_version` other entries identify what they know by a
+    version of the object, which stays valid over all histories of the store.
     """
 
     def __init__(
@@ -84,8 +87,8 @@
         owner: KindOwner,
         watch_s: Callable[[], float],
         call_s: Callable[[], float],
-        rest_s: Callable[[], float] = never_rests,
-        tell: Callable[[str, StorePosition, ObjectEvents], None] = tell_nobody,
+        rest_s: Callable[[], float] = zero_rest_s,
+        tell: Callable[[str, StorePosition, ObjectEvents], None] = discard_changes,
         on_relayed: Callable[[float], None] = ignore_relayed,
         changes_pause_s: float = CHANGES_PAUSE_S,
         is_told_by_version: bool = False,
@@ -102,13 +105,14 @@
         self.random = random
         self.owner = owner
         self.position_: StorePosition | None = None
-        # The store counts changes of all kinds together; this is the last of this kind.
+        # The store's revisions count changes of all kinds; this is the last position at
+        # which an object of this kind changed.
         self.changed_position_ = START
         self.confirmed_at_: float | None = None
-        self.is_unheard_ = False
+        self.is_unanswered_ = False
         self.lists_fresh_ = False
         self.may_be_old_ = False
-        self.behind_ = asyncio.Event()
+        self.poll_requested_ = asyncio.Event()
         client.epochs.listeners_.append(self._on_epoch)
 
     async def run(self) -> None:
@@ -122,77 +126,79 @@
             if good:
                 wait_s = RETRY_MIN_S
                 continue
-            # Time in which no answer came counts as the pause: a store that is back is
-            # asked as soon as the call that it never answers has been given up.
+            # Time spent on the failed call counts towards the pause: a store that is
+            # back is called as soon as the call that it never answers has timed out.
             pause_s = wait_s * self.random.uniform(0.6, 1.2)
             await asyncio.sleep(max(0.0, pause_s - (now() - began_at)))
             wait_s = min(self._retry_max_s(), wait_s * 2.0)
 
     def _must_list(self) -> bool:
-        """Tell whether what is known belongs to no history that can be followed."""
+        """Return whether a new listing is needed before changes can be followed."""
         position = self.position_
         return position is None or position.epoch < self.client.epochs.current_
 
     def _on_epoch(self) -> None:
-        """List anew; entries that rest do so one after the other."""
+        """Schedule a new listing, spread over time among the entries that rest."""
         if self.is_told_by_version or self.rest_s() <= 0.0:
             return
         pause_s = self.random.uniform(0.0, RELIST_SPREAD_S)
         asyncio.get_running_loop().call_later(pause_s, self._list_anew)
 
     def _list_anew(self) -> None:
-        """End a rest, unless the store has been asked meanwhile."""
+        """End a rest, unless the kind has been listed meanwhile."""
         if self._must_list():
-            self.behind_.set()
+            self.poll_requested_.set()
 
     def _retry_max_s(self) -> float:
-        """Return how many seconds lie at most between calls that fail.
+        """Return the maximum pause between failed calls, in seconds.
 
-        Where others follow the store, they say at once that it is back; in an outage of
-        8 s all 68 entries would call it again and again.
+        Where others follow the store, they report at once that it is back. With a
+        shorter pause, all 68 entries call it again and again in an outage of 8 s.
         """
         if self.confirmed_at_ is None:
             return RETRY_MAX_S
-        return max(RETRY_MAX_S, RESTING_RETRY_PART * self.rest_s())
+        return max(RETRY_MAX_S, RESTING_RETRY_FRACTION * self.rest_s())
 
     async def _rest(self) -> None:
-        """Ask nothing while what was confirmed last is young enough."""
+        """Wait for as long as the last confirmation is recent enough."""
         now = asyncio.get_running_loop().time
         while self.position_ is not None and self.confirmed_at_ is not None:
             left_s = self.confirmed_at_ + self.rest_s() - now()
-            if left_s < LEAST_REST_S or self.behind_.is_set():
+            if left_s < MIN_REST_S or self.poll_requested_.is_set():
                 break
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.behind_.wait(), left_s)
-        self.behind_.clear()
+                await asyncio.wait_for(self.poll_requested_.wait(), left_s)
+        self.poll_requested_.clear()
 
     def doubt(self) -> None:
-        """Ask at once, on a new connection: what is known may be old.
+        """Call the store at once, on a new connection: the known state may be old.
 
-        A call that waits already ends by the steady clock, within the time of a watch.
+        A call in progress goes on; it ends by the monotonic clock, within the time of a
+        watch.
         """
-        self.is_unheard_ = True
-        self.behind_.set()
+        self.is_unanswered_ = True
+        self.poll_requested_.set()
 
-    def hurry(self) -> None:
-        """Ask the store at once: another entry knows of changes that were missed.
+    def poll_now(self) -> None:
+        """Call the store at once: another entry knows of changes that were missed.
 
-        Where all entries have to list anew, each does so at a time of its own.
+        Does nothing where a new listing is needed: all entries need one then, and each
+        makes it at its own random time.
         """
         if not self._must_list():
-            self.behind_.set()
+            self.poll_requested_.set()
 
     def learn(
         self, after_revision: int, seen: ObjectEvents, confirmed_at: float
     ) -> bool:
-        """Take changes that another entry passes on; return whether they fit.
+        """Apply changes that another entry passes on; return whether they fit.
 
-        They do not fit where one before them is missing here.
+        They do not fit if an earlier change is missing here.
         """
         if self.position_ is None:
             return False
         if StorePosition(seen.epoch, after_revision) > self.position_:
-            self.hurry()
+            self.poll_now()
             return False
         if seen.position > self.position_:
             for event in seen.events:
@@ -203,7 +209,7 @@
         return True
 
     def learn_confirmed(self, position: StorePosition, confirmed_at: float) -> None:
-        """Believe another entry that nothing is missing here up to a position."""
+        """Record a confirmation from another entry that no change is missing here."""
         if self.position_ is None or position.epoch < self.position_.epoch:
             return
         if self.confirmed_at_ is not None and confirmed_at <= self.confirmed_at_:
@@ -212,8 +218,8 @@
         self.on_relayed(confirmed_at)
 
     async def _list(self) -> bool:
-        # The first listing may be seconds old: it costs a tenth, and the call for
-        # changes that follows at once brings what is missing.
+        # The first listing may be seconds old: such a listing costs a tenth, and the
+        # call for changes that follows at once returns what is missing.
         may_be_old = not self.lists_fresh_
         listing = await self._read_pages(may_be_old=may_be_old)
         if listing is None:
@@ -237,7 +243,7 @@
         return True
 
     async def _read_pages(self, *, may_be_old: bool) -> Listing | None:
-        """Return every object of the kind; None where a page does not come."""
+        """Return all objects of the kind, or None if a page cannot be had."""
         codec = self.client.codec
         items: list[dict] = []
         after: str | None = None
@@ -250,11 +256,11 @@
             )
             if isinstance(read, Failure):
                 if read.failure() is StoreFailure.PAST_EPOCH:
-                    # An old listing may stay older than the restoration for seconds.
+                    # A listing that may be old can predate the restoration for seconds.
                     self.lists_fresh_ = True
                 return None
             answer = read.unwrap()
-            # The pause after a failure bounds the lines about what cannot be read.
+            # The pause after a failure bounds the log lines about unreadable pages.
             page = readable(codec.read_list(answer.body), self.client.log)
             if page is None:
                 return None
@@ -262,9 +268,9 @@
             items += page.items
             made_at = StorePosition(answer.epoch, page.revision)
             if position is not None and made_at.epoch != position.epoch:
-                # The pages before this one belong to another history.
+                # The earlier pages belong to another history of the store.
                 return None
-            # A change between two pages is seen again by a watch from the older one.
+            # A watch from the oldest page also returns changes made between pages.
             position = min(made_at, position or made_at)
             after = page.next_name
             if after is None:
@@ -276,7 +282,7 @@
         asked_from = self.position_
         read = await self._call_watch()
         is_gone = read == Failure(StoreFailure.HISTORY_GONE)
-        self.is_unheard_ = read == Failure(StoreFailure.NO_ANSWER)
+        self.is_unanswered_ = read == Failure(StoreFailure.NO_ANSWER)
         if is_gone:
             self.position_ = None
             return True
@@ -284,7 +290,7 @@
             return False
         answer = read.unwrap()
         if answer.epoch != asked_from.epoch:
-            # What changed in another history does not follow on what is known.
+            # Changes in another history do not follow from the known state.
             return True
         read_events = readable(codec.read_events(answer.body), self.client.log)
         if read_events is None:
@@ -293,7 +299,7 @@
         seen = read_events.in_epoch(answer.epoch)
         self._report(seen.faults)
         is_news = seen.position > self.position_ or self.position_ == asked_from
-        # Another entry may have told this one more than the store did meanwhile.
+        # Other entries may have passed on newer changes in the meantime.
         end = "taken" if is_news else "known"
         STORE_CHANGES_TOTAL.labels(kind=self.kind, end=end).inc(len(seen.events))
         if is_news:
@@ -308,35 +314,36 @@
         return True
 
     async def _call_watch(self) -> Result[StoreAnswer, StoreFailure]:
-        """Ask for changes; wait for none in doubt, or where others follow the store.
+        """Ask for changes, and wait for one unless the call has to return at once.
 
-        After a listing that may be old none is waited for either.
+        It does not wait after a call without a response, after a listing that may be
+        old, and where others follow the store.
         """
-        is_in_doubt = self.is_unheard_ or self.client.is_silent_
-        is_asked = is_in_doubt or self.may_be_old_ or self.rest_s() > 0.0
-        wait_s = 0.0 if is_asked else self.watch_s()
-        # A store that is silent never answers a call, not even once it is back; so the
-        # next one has to follow soon, also where a slow store is given more time.
+        reconnects = self.is_unanswered_ or self.client.is_silent_
+        returns_at_once = reconnects or self.may_be_old_ or self.rest_s() > 0.0
+        wait_s = 0.0 if returns_at_once else self.watch_s()
+        # A silent store never answers a pending call, not even once it is back; so the
+        # next call has to follow soon, also where a slow store is given more time.
         margin_s = WATCH_MARGIN_S if wait_s > 0.0 else self.call_s()
         path = self.client.codec.watch_path(
             self.kind, self.position_.revision, round(wait_s * 1_000.0)
         )
         return await self.client.call(
-            path, wait_s=wait_s, margin_s=margin_s, is_fresh=is_in_doubt
+            path, wait_s=wait_s, margin_s=margin_s, is_fresh=reconnects
         )
 
     def _report(self, faults: Sequence[str]) -> None:
-        """Log what was passed over because nothing of it could be read."""
+        """Log and count the objects that were skipped because they are unreadable."""
         for fault in faults:
             report_unreadable(fault, self.client.log)
 
     def _confirm(self, position: StorePosition) -> None:
-        """Record that the store said just now that nothing is missing."""
+        """Record that the store has just confirmed that no change is missing."""
         self._record(position, asyncio.get_running_loop().time())
         self.owner.on_confirmed()
 
     def _record(self, position: StorePosition, confirmed_at: float) -> None:
-        """Record when it was known that nothing is missing up to a position."""
+        """Record the time at which no change was missing up to a position."""
         if self.confirmed_at_ is not None:
             gap_s = max(0.0, confirmed_at - self.confirmed_at_)
             STORE_CONFIRM_GAP_SECONDS.labels(kind=self.kind).observe(gap_s)
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
@@ -1,9 +1,9 @@
-"""Follow which halls the operator has evacuated: from the store, or from a peer.
+"""Follow which data halls the operator has evacuated, from the store or from a peer.
 
-Writes the evacuated halls of the roster, which orders notices by the positions of the
-store, and tells peers what it learns, so that an entry which the store turns away
-follows its neighbours. Endpoints of a hall that is given back count as cold at once:
-their listings say so only a heartbeat later.
+Updates the evacuated halls of the roster, which orders notices by their positions in
+the history of the store, and passes changes on to peers, so that an entry whose calls
+the store rejects still learns of them. Endpoints of a hall that is given back count as
+cold at once, because their own listings say so only a heartbeat later.
 """
 
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 from leadford_server.forwarding.store._base import Listing
 from leadford_server.forwarding.store._client import FROM_STORE, readable_record
 
-# Part of the bound on evacuations that a watch waits in the store. A watch that hears
-# nothing is then over, and its successor answered, well within the bound.
+# Wait of a watch in the store, as a fraction of the bound on evacuations. A watch that
+# gets no response then ends, and the next one is answered, well within the bound.
 WATCH_PART = 0.4
 
 
 class HallsHolder:
     """Hold which halls are evacuated.
 
-    `on_change` is called after a hall has changed, `tell` with what peers should know.
+    `on_change` is called after a hall has changed, `tell` with the report for peers.
     """
 
     def __init__(
@@ -43,17 +43,17 @@
         self.tell = tell
 
     def on_list(self, listing: Listing) -> None:
-        """Read a whole listing of the store."""
+        """Apply a complete listing of the store."""
         epoch = listing.position.epoch
         read = [self._read(item, epoch) for item in listing.items]
         notices = [notice for notice in read if notice is not None]
         halls = self.state.roster_.halls_
         was_known = halls.is_known_
         changed = halls.replace(notices, listing.position, self.state.now())
-        self._settle(changed, FROM_STORE, is_first=not was_known)
+        self._apply_changes(changed, FROM_STORE, is_first=not was_known)
 
     def on_event(self, event: ObjectEvent) -> None:
-        """Read one change in the store."""
+        """Apply one change in the store."""
         if not event.is_gone:
             notice = self._read(event.item, event.epoch)
         else:
@@ -64,19 +64,21 @@
                 event.epoch,
             )
         if notice is not None and self.state.roster_.halls_.record(notice):
-            self._settle([notice], FROM_STORE)
+            self._apply_changes([notice], FROM_STORE)
 
     def on_confirmed(self) -> None:
-        """Do nothing: how old the list of evacuations is decides nothing."""
+        """Do nothing: no decision depends on the age of the list of evacuations."""
 
     def expire(self) -> None:
-        """Give halls back whose evacuation a restored store has lost for good."""
-        self._settle(self.state.roster_.halls_.expire(self.state.now()), FROM_STORE)
+        """Give back halls whose evacuation a restored store has lost for good."""
+        self._apply_changes(
+            self.state.roster_.halls_.expire(self.state.now()), FROM_STORE
+        )
 
     def learn(
         self, report: EvacuationReport, source: str, *, tells_epochs: bool = True
     ) -> None:
-        """Record what a peer knows; `source` names it."""
+        """Record the evacuations that a peer reports; `source` is its name."""
         halls = self.state.roster_.halls_
         was_known = halls.is_known_
         halls.is_known_ = True
@@ -90,10 +92,10 @@
             )
             if halls.record(notice):
                 changed.append(notice)
-        self._settle(changed, source, is_first=not was_known)
+        self._apply_changes(changed, source, is_first=not was_known)
 
     def report(self) -> EvacuationReport | None:
-        """Return what peers are told; nothing before it is known here."""
+        """Return the report for peers, or None before the evacuations are known."""
         halls = self.state.roster_.halls_
         if not halls.is_known_:
             return None
@@ -106,10 +108,10 @@
             ]
         )
 
-    def _settle(
+    def _apply_changes(
         self, changed: list[HallNotice], source: str, *, is_first: bool = False
     ) -> None:
-        """Log changes, count endpoints of halls that were given back as cold, tell."""
+        """Log changes, mark endpoints of halls given back as cold, and notify peers."""
         for notice in changed:
             if not notice.is_evacuated:
                 self._record_cold(notice.hall)
@@ -127,7 +129,7 @@
             self.on_change()
 
     def _record_cold(self, hall: HallId) -> None:
-        """Count the endpoints of a hall as cold for as long as their service says."""
+        """Mark the endpoints of a hall as cold for the time set by their service."""
         now = self.state.now()
         for record in self.state.roster_.in_hall(hall):
             service = self.state.service(record.listed.service_id)
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_listing.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_listing.py
@@ -1,7 +1,7 @@
-"""Join the listings of endpoints: from the store, or from a peer that knows better.
+"""Merge listings of endpoints from the store, or from a peer with a newer one.
 
-Writes the roster, which orders what it is told by the positions of the store. An
-endpoint that cannot be read is left out, with a log line.
+Updates the roster, which orders updates by their positions in the history of the store.
+An endpoint that cannot be read is left out and logged.
 """
 
 from collections.abc import Callable, Iterable
@@ -33,18 +33,18 @@
         self.on_change = on_change
 
     def on_list(self, listing: Listing) -> None:
-        """Read a whole listing of the store."""
+        """Apply a complete listing of the store."""
         epoch = listing.position.epoch
         found = [self._read(item, epoch) for item in listing.items]
         endpoints = [endpoint for endpoint in found if endpoint is not None]
         self.apply(endpoints, listing.position)
 
     def on_event(self, event: ObjectEvent) -> None:
-        """Read one change in the store."""
+        """Apply one change in the store."""
         roster = self.state.roster_
         endpoint = None if event.is_gone else self._read(event.item, event.epoch)
         if endpoint is None:
-            # A record that cannot be read names no endpoint, as one that is gone.
+            # An unreadable record names no endpoint, the same as a deleted one.
             changes = roster.remove(
                 self.objects.object_name(event.item),
                 StorePosition(event.epoch, self.objects.object_revision(event.item)),
@@ -57,10 +57,10 @@
         self._record_cold(endpoint)
 
     def on_confirmed(self) -> None:
-        """Do nothing: how old a listing is decides nothing."""
+        """Do nothing: no decision depends on the age of a listing."""
 
     def apply(self, endpoints: list[ListedEndpoint], position: StorePosition) -> None:
-        """Join a whole listing that was made at a position of the store."""
+        """Merge a complete listing that was made at a position of the store."""
         roster = self.state.roster_
         self._log(roster.replace(endpoints, position, self.state.now()))
         for endpoint in endpoints:
@@ -80,7 +80,7 @@
         return None if endpoint is None else endpoint.in_epoch(epoch)
 
     def _log(self, changes: Iterable[RosterChange]) -> None:
-        """Log what changed, and tell it."""
+        """Log changes and call `on_change` if there are any."""
         changes = list(changes)
         for change in changes:
             self.state.log.report(
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""Watches wait as told, and not at all after one that heard nothing."""
+"""Watches wait as long as configured, and not at all after one without a response."""
 
 import asyncio
 from random import Random
@@ -27,7 +27,7 @@
 
 
 class Client:
-    """Stand in for the client of the store: give prepared answers, keep the waits."""
+    """Stand in for the store client: return prepared answers and record the waits."""
 
     def __init__(self, answers):
         self.codec = PlatformObjects()
@@ -201,7 +201,7 @@
     async def start():
         await follower._list()
         assert follower.confirmed_at_ is None
-        # Whatever changed after the older page is asked for.
+        # The next call asks for all changes since the older page.
         assert follower.position_.revision == 7
         await follower._watch()
         await follower._watch()
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
@@ -1,22 +1,14 @@
 """Each entry catches up with a store that was silent within the time it has for that.
 
-Symptom: an entry sent a request to its endpoint by a configuration that had been
-replaced 2.70 s before, where 2 s are allowed. The request was served, and the entry
-refused nothing, so nobody it was linked to knew better either.
-Sequence: the store gave no answer for some 9 s. Once it was back, changes were accepted
-at once, and requests went on by what held before; 3.0 s after the store's return the
-time that the entry had to catch up was over, and it still decided by it.
-Cause: a call that reaches a silent store is not answered once the store is back. How
-long an entry waits for such a call grew with each one, up to 3.8 s and a pause of up to
-0.96 s, and did not depend on the time that the deployment gives to catch up. A change
-ends the watches of all entries at the same moment, so they went through the same waits
-in step, and no entry could tell another one.
-What settled it: a simulated run with five entries and a store that was silent for
-8.5 s; a change was accepted at its end. The last watches that were lost began on all
-five 0.05 to 0.2 s before the end (event 505, waited_ms 3800), and they had the change
-4.3 to 4.7 s after it, all from the store (600). No link between entries was lost (201),
-which rules out one entry that was cut off from others that knew. With waits that are
-drawn from a range the same happens less often: 2.9 to 3.4 s after a silence of 6.0 s.
+A call that reaches a silent store is never answered, not even once the store is back,
+so an entry learns of a change only after that call has timed out. If the timeout grows
+with each such call (up to 3.8 s, with a pause of up to 0.96 s) and does not depend on
+the time that the deployment gives to catch up, an entry still decides by the replaced
+configuration when that time (3.0 s) is over: it learns of the change 4.3 to 4.7 s after
+it, and sends a request by a configuration that was replaced 2.70 s before, where 2 s
+are allowed. A change ends the watches of all entries at the same moment, so all are at
+the same wait and none can pass the change on to another. Random waits only make this
+rarer: the delay is still 2.9 to 3.4 s after a silence of 6.0 s.
 """
 
 import asyncio
@@ -37,10 +29,10 @@
 from leadford_server.forwarding.store._follow import WATCH_S, KindFollower
 from leadford_standins.simulated import run_simulated
 
-# Seconds that the store needs for an answer, also while it is slow.
+# Time that the store takes for an answer, normally and while it is slow.
 ANSWER_S = 0.02
 SLOW_ANSWER_S = 1.5
-# When the store falls silent, seconds after the first call, and for how long.
+# When the store falls silent, in seconds after the first call, and for how long.
 SILENT_AT_S = [10.0, 10.6, 11.2, 11.8]
 SILENT_FOR_S = [halves / 2.0 for halves in range(1, 21)]
 # Revisions before and after the change that is made when the store is back.
@@ -48,7 +40,7 @@
 
 
 class Waiting(Enum):
-    """Say what becomes of a watch that waits when the silence begins."""
+    """Name the result of a watch that is in progress when the silence begins."""
 
     ANSWERED = "answered after it"
     LOST = "never answered"
@@ -56,7 +48,7 @@
 
 
 class SilentStore:
-    """Stand in for the client of a store that is silent once, then changed at once.
+    """Stand in for the client of a store that is silent once and then has a change.
 
     A call that arrives in the silence is never answered.
     """
@@ -109,7 +101,7 @@
 
 
 def late_s(store, *, live_peers, resync_s):
-    """Return how long after the end of the silence an entry heard of the change."""
+    """Return how long after the end of the silence an entry learns of the change."""
     random = Random(live_peers)
     heard_at = []
 
@@ -173,5 +165,5 @@
         waiting=Waiting.ANSWERED,
         answer_s=SLOW_ANSWER_S,
     )
-    # A watch that is given up, and the call after it.
+    # A watch that times out, and the call after it.
     assert late_s(store, live_peers=live_peers, resync_s=4.0) <= 3.4 + SLOW_ANSWER_S
