--- a/packages/leadford-server/src/leadford_server/forwarding/membership/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Hold links to other entries, and exchange what each knows over them.
+"""Hold links to other entries, and exchange state over them.
 
-Who is linked, who lives and whom to ask is decided in `leadford.forwarding.membership`.
+Which entries are linked, which are alive and which to ask is decided in
+`leadford.forwarding.membership`.
 """
 
 from leadford_server.forwarding.membership._links import EntryLinks
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_crashes.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_crashes.py
@@ -1,9 +1,9 @@
-"""Spread under which requests endpoints ended, so that all entries know it at once.
+"""Share between entries which requests were running when an endpoint crashed.
 
-An entry tells the peers that it holds links to, in the turn of the loop in which it saw
-an endpoint end. Those that follow the store pass news on to all their peers, because
-every entry holds a link to them; what is known already goes no further. A new peer is
-told what is known, so one that starts later knows as much.
+An entry notifies its linked peers in the event loop iteration in which it saw an
+endpoint end. Entries that follow the store forward news to all their peers, because
+every entry holds a link to them; news that is known already is not forwarded. A new
+peer receives all that is known, so an entry that starts later knows as much.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,9 +16,9 @@
 
 
 class CrashExchange:
-    """Tell other entries what the quarantine of this one records, and learn theirs.
+    """Send other entries what the quarantine of this one records, and record theirs.
 
-    `passes_on` tells whether this entry passes on what others tell it.
+    `forwards_news` returns whether this entry forwards news that it receives.
     """
 
     def __init__(
@@ -26,45 +26,45 @@
         *,
         state: ForwardState,
         peers_by_id: Mapping[EntryId, PeerConnection],
-        passes_on: Callable[[], bool],
+        forwards_news: Callable[[], bool],
     ) -> None:
         self.state = state
         self.peers_by_id = peers_by_id
-        self.passes_on = passes_on
-        self.waiting_: list[CrashNews] = []
+        self.forwards_news = forwards_news
+        self.pending_: list[CrashNews] = []
 
     def handlers(self) -> MessageHandlers:
-        """Return what handles each kind of message here."""
+        """Return the handler of each type of message that this exchange receives."""
         return {CrashNews: self._on_news}
 
     def tell(self, news: CrashNews) -> None:
-        """Tell every peer, together with all else that this turn of the loop shows."""
-        if not self.waiting_:
-            self.state.loop.call_soon(self._send_waiting)
-        self.waiting_.append(news)
+        """Send news to every peer, in one message per event loop iteration."""
+        if not self.pending_:
+            self.state.loop.call_soon(self._send_pending)
+        self.pending_.append(news)
 
     def send_known(self, peer: PeerConnection) -> None:
-        """Tell a new peer what is known."""
+        """Send a new peer all that is known."""
         known = self.state.quarantine_.known()
-        if known is not None and _can_read(peer):
+        if known is not None and _supports_crash_news(peer):
             peer.send(known)
 
-    def _send_waiting(self) -> None:
+    def _send_pending(self) -> None:
         news = CrashNews(
-            [case for part in self.waiting_ for case in part.cases],
-            [endpoint_id for part in self.waiting_ for endpoint_id in part.alive],
-            [digest for part in self.waiting_ for digest in part.answered],
+            [case for part in self.pending_ for case in part.cases],
+            [endpoint_id for part in self.pending_ for endpoint_id in part.alive],
+            [digest for part in self.pending_ for digest in part.answered],
         )
-        self.waiting_.clear()
+        self.pending_.clear()
         for peer in list(self.peers_by_id.values()):
-            if _can_read(peer):
+            if _supports_crash_news(peer):
                 peer.send(news)
 
     def _on_news(self, peer: PeerConnection, message: CrashNews) -> None:
         news = self.state.quarantine_.learn(message)
-        if news is not None and self.passes_on():
+        if news is not None and self.forwards_news():
             self.tell(news)
 
 
-def _can_read(peer: PeerConnection) -> bool:
+def _supports_crash_news(peer: PeerConnection) -> bool:
     return peer.info.protocol_version >= PROTOCOL_CRASHES
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_fleet.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_fleet.py
@@ -1,8 +1,9 @@
-"""Know which entries exist and which groups of endpoints they share.
+"""Hold which entries exist and which groups of endpoints they share.
 
-Owns the entries that the store or a peer named. Puts them, with the listing and the
-configuration, to the rules of `leadford.forwarding.membership`: whom to link to, who
-follows the store, who places prompts. Who of them lives is known to `_links`.
+Owns the entries that the store or a peer named. Applies the rules of
+`leadford.forwarding.membership` to them, the listing and the configuration: which
+entries to link to, which follow the store, which groups of engines one entry places
+prompts for. `_links` knows which of them are alive.
 """
 
 from leadford.common import EntryId, HallId
@@ -19,24 +20,24 @@
 
 
 class FleetView:
-    """Say which entries work together, by what this entry knows of the fleet."""
+    """Derive which entries work together from what this entry knows of the fleet."""
 
     def __init__(self, *, state: ForwardState) -> None:
         self.state = state
         self.entries_by_id_: dict[EntryId, KnownEntry] = {}
 
     def set_known_entries(self, entries: dict[EntryId, KnownEntry]) -> None:
-        """Record which entries exist."""
+        """Replace the entries that are known to exist."""
         self.entries_by_id_.clear()
         self.entries_by_id_.update(entries)
         self.entries_by_id_.pop(self.state.entry_id, None)
 
     def entry_count(self) -> int:
-        """Return how many entries exist, this one too."""
+        """Return how many entries exist, including this one."""
         return 1 + len(self.entries_by_id_)
 
     def halls_by_entry(self) -> dict[EntryId, HallId]:
-        """Return the hall of each entry that exists, this one too."""
+        """Return the hall of each entry that exists, including this one."""
         halls = {entry.entry_id: entry.hall for entry in self.entries_by_id_.values()}
         halls[self.state.entry_id] = self.state.hall
         return halls
@@ -46,19 +47,19 @@
         stages = self.stage_groups()
         groups = stages | self.engine_groups()
         if not stages:
-            # Those who follow the store for all are found by it.
+            # The entries that follow the store for all others are found by this group.
             groups.add(self._own_region())
         return wanted_peers(
             self.state.entry_id, self.halls_by_entry(), groups, self.state.regions
         )
 
     def followers(self) -> set[EntryId]:
-        """Return the entries that follow the store for all."""
+        """Return the entries that follow the store for all others."""
         groups = self.stage_groups() or {self._own_region()}
         return store_followers(self.halls_by_entry(), groups, self.state.regions)
 
     def stage_groups(self) -> set[GroupId]:
-        """Return the groups of endpoints of stages."""
+        """Return the groups of usable endpoints of all stages."""
         found = set()
         now = self.state.now()
         for service in self._services():
@@ -68,7 +69,7 @@
         return found
 
     def engine_groups(self) -> set[GroupId]:
-        """Return the groups of engines whose prompts one entry places."""
+        """Return the groups of engines for which one entry places all prompts."""
         found = set()
         for service in self._services():
             if service.engine is None:
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
@@ -1,10 +1,11 @@
-"""Say in heartbeats what this entry knows, and record what others say.
+"""Report the state of this entry in heartbeats, and record the reports of others.
 
 A heartbeat carries the load of the groups that an entry schedules, the pieces it has
-admitted, the requests it has refused since, and what it still has at endpoints whose
-group another entry schedules now. Whoever schedules a group also tells the admitted
-backlog of all entries that it hears. Which links get a heartbeat is decided in
-`leadford.forwarding.membership`; each part is recorded by its owner.
+admitted, the requests it has refused since the last one, and the capacity that it still
+uses at endpoints whose group another entry schedules now. The scheduler of a group also
+sends the admitted backlog summed over all entries that it hears from. Which links get a
+heartbeat is decided in `leadford.forwarding.membership`; the owner of each part records
+it.
 """
 
 from collections.abc import Collection
@@ -42,12 +43,12 @@
 from leadford_server.forwarding.batching import StageRunner
 from leadford_server.peers import PeerConnection
 
-# The rate that tells of a limit that is over.
-LIMIT_OVER = -1.0
+# The rate on the wire that says that an endpoint has no limit any more.
+NO_LIMIT_PER_S = -1.0
 
 
 class Heartbeat:
-    """Hold what is said now, and say it to those that have to hear it."""
+    """Hold the content of one heartbeat, and send it to the peers that need it."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
     ) -> None:
         self.message = message
         self.scheduler_ids = scheduler_ids
-        # Each part with the version from which on it is told.
+        # Each optional part with the lowest protocol version that can read it.
         self.parts_ = (
             (confirmations, confirmed_version),
             (backlog, PROTOCOL_FLEET),
@@ -74,7 +75,7 @@
         self.news_ = HeartbeatNews(number, tells_all)
 
     def send(self, peer: PeerConnection) -> None:
-        """Send to a peer what it has to hear now, if anything."""
+        """Send to a peer the parts that it needs and can read, if it is due."""
         version = peer.info.protocol_version
         if not is_due(
             self.news_,
@@ -83,13 +84,13 @@
         ):
             return
         peer.send(self.message)
-        for part, least_version in self.parts_:
-            if part is not None and version >= least_version:
+        for part, min_version in self.parts_:
+            if part is not None and version >= min_version:
                 peer.send(part)
 
 
 class Heartbeats:
-    """Make the heartbeats of this entry, and record those of others."""
+    """Create the heartbeats of this entry, and record those of others."""
 
     def __init__(
         self, *, entry_id: EntryId, state: ForwardState, stages: StageRunner
@@ -108,9 +109,10 @@
         confirmations: StoreConfirmations | None,
         confirmed_version: int,
     ) -> Heartbeat:
-        """Return what is said now; refusals are said once.
+        """Return the next heartbeat; each refusal is reported only once.
 
-        Builds from `confirmed_version` on are told what the store confirmed.
+        `confirmed_version` is the lowest protocol version of peers that receive what
+        the store confirmed.
         """
         message = self.make(
             groups, is_draining=is_draining, lowest_version=lowest_version
@@ -129,7 +131,7 @@
     def make(
         self, groups: set[GroupId], *, is_draining: bool, lowest_version: int
     ) -> EntryHeartbeat:
-        """Return the message that every peer can read."""
+        """Return the part of the heartbeat that every peer can read."""
         listed_at = self.state.roster_.changed_position_
         return EntryHeartbeat(
             listed_at.revision,
@@ -143,7 +145,7 @@
         )
 
     def record(self, entry_id: EntryId, message: EntryHeartbeat) -> None:
-        """Record what another entry says."""
+        """Record the heartbeat of another entry."""
         now = self.state.now()
         for report in message.groups:
             group = GroupId(ServiceId(report.service_id), PlaceId(report.place))
@@ -195,19 +197,19 @@
     def _made_rate(
         self, service_id: ServiceId, groups: set[GroupId]
     ) -> MadeRate | None:
-        """Return what a service makes that is behind, if it is one group."""
-        of_service = [group for group in groups if group.service_id == service_id]
-        if len(of_service) != 1:
+        """Return the throughput of a service that is behind, if it is one group."""
+        service_groups = [group for group in groups if group.service_id == service_id]
+        if len(service_groups) != 1:
             return None
-        return self.stages.scheduler_.made_rate(of_service[0])
+        return self.stages.scheduler_.made_rate(service_groups[0])
 
     def record_backlog(self, message: FleetBacklog) -> None:
-        """Record the backlog over all entries that another one hears."""
+        """Record the backlog that another entry has summed over all that it hears."""
         now = self.state.now()
         for report in message.services:
-            told = BacklogSum(report.entries, report.urgent, report.less_urgent)
+            backlog_sum = BacklogSum(report.entries, report.urgent, report.less_urgent)
             service_id = ServiceId(report.service_id)
-            self.stages.backlog_.record_sum(service_id, told, now)
+            self.stages.backlog_.record_sum(service_id, backlog_sum, now)
             rate = None
             if report.pieces_per_s >= 0.0:
                 rate = MadeRate(report.pieces_per_s, report.less_urgent_per_s)
@@ -227,14 +229,14 @@
         return reports
 
     def _backlog_reports(self) -> list[CommitmentReport]:
-        """Return the pieces that this entry has admitted and not yet had made."""
+        """Return the pieces that this entry has admitted and that are not yet done."""
         return [
             CommitmentReport(key.service_id, key.is_urgent, pieces)
             for key, pieces in self.stages.backlog_.say().items()
         ]
 
     def _refusal_reports(self) -> list[RefusalReport]:
-        """Return the requests that were refused here since the last heartbeat."""
+        """Return the requests that this entry refused since the last heartbeat."""
         now = self.state.now()
         return [
             RefusalReport(
@@ -247,12 +249,12 @@
         ]
 
     def make_limits(self) -> LimitNews | None:
-        """Return the limits that endpoints named; None where nothing is known."""
+        """Return the known rate limits of endpoints, or None if there are none."""
         now = self.state.now()
         reports = [
             LimitReport(
                 limit.endpoint_id,
-                LIMIT_OVER if limit.per_s is None else limit.per_s,
+                NO_LIMIT_PER_S if limit.per_s is None else limit.per_s,
                 round((now - limit.known_at) * 1_000.0, 1),
             )
             for limit in self.state.limits_.known(now)
@@ -260,7 +262,7 @@
         return LimitNews(reports) if reports else None
 
     def record_limits(self, message: LimitNews) -> None:
-        """Record the limits that another entry knows."""
+        """Record the rate limits of endpoints that another entry knows."""
         now = self.state.now()
         for report in message.limits:
             self.state.limits_.record_heard(
@@ -272,7 +274,7 @@
             )
 
     def _capacity_reports(self) -> list[LaneReport]:
-        """Return what this entry still has where others schedule now."""
+        """Return the capacity that this entry uses where others schedule now."""
         groups = self.stages.groups
         uses = self.stages.scheduler_.loads.uses_left(
             lambda group: groups.scheduler_of(group) != self.entry_id
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -1,8 +1,8 @@
-"""Hold the links to other entries: who is dialled, who lives, who handles a message.
+"""Hold the links to other entries: connect, track liveness and dispatch messages.
 
-Owns the connections to peers and when each was last heard, which says who is alive; the
-store only says who exists, which `_fleet` knows. What travels over the links is left to
-`_heartbeats`, `_pieces` and `_news`.
+Owns the connections to peers and the time at which each was last heard, which decides
+whether it is alive. The store only says which entries exist; `_fleet` holds these. The
+content of messages is left to `_heartbeats`, `_pieces` and `_news`.
 """
 
 import asyncio
@@ -43,17 +43,17 @@
 from leadford_server.peers import Dialer, Identity, PeerConnection, PeerServer
 from leadford_server.settings import SocketAddress
 
-# Seconds between heartbeats, and the parts between which each pause is drawn.
-HEARTBEAT_S = 0.2
-HEARTBEAT_SPREAD = (0.9, 1.1)
+# Mean time between heartbeats, and the range of the random factor of each pause.
+HEARTBEAT_INTERVAL_S = 0.2
+HEARTBEAT_JITTER = (0.9, 1.1)
 
 
 class EntryLinks:
     """Hold links to the entries that this one works with.
 
     These are the first candidates to schedule each group, and the next entries in
-    the order of ids, so that news spread over all of them. Their number does not
-    grow with the fleet.
+    the order of ids, so that news reaches all entries. Their number does not grow
+    with the fleet.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
         self.crashes = CrashExchange(
             state=state,
             peers_by_id=self.peers_by_id_,
-            passes_on=lambda: self.relays.follows,
+            forwards_news=lambda: self.relays.follows,
         )
         state.quarantine_.on_news = self.crashes.tell
         self.placing = EnginePlacing(
@@ -123,7 +123,7 @@
         self.handlers_ = self._handlers()
 
     def _handlers(self) -> MessageHandlers:
-        """Return what handles each kind of message."""
+        """Return the handler of each type of message."""
         return {
             EntryHeartbeat: self._on_heartbeat,
             EvacuationReport: self._on_evacuations,
@@ -137,7 +137,7 @@
         }
 
     async def start(self) -> None:
-        """Listen for peers."""
+        """Start to listen for peers."""
         self.server_ = PeerServer(
             identity=self.identity,
             handler=self,
@@ -149,7 +149,7 @@
         await self.server_.start(self.address)
 
     def stop(self) -> None:
-        """Drop every link and listen no more."""
+        """Close all links and stop listening."""
         for dialer in self.dialers_by_id_.values():
             dialer.task_.cancel()
         for peer in list(self.peers_by_id_.values()):
@@ -157,15 +157,15 @@
         self.server_.server_.close()
 
     async def run(self) -> None:
-        """Send heartbeats and keep links up until cancelled."""
+        """Send heartbeats and maintain the links until cancelled."""
         while True:
             self.heard_.look(self.state.now())
             self._dial()
             self._send_heartbeats()
             self.stages.sent.check()
             self.stages.give_back()
-            spread = self.random.uniform(*HEARTBEAT_SPREAD)
-            await asyncio.sleep(HEARTBEAT_S * spread)
+            spread = self.random.uniform(*HEARTBEAT_JITTER)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * spread)
 
     def _dial(self) -> None:
         wanted = self.fleet.wanted_peers()
@@ -189,42 +189,43 @@
             self.dialers_by_id_[entry_id] = dialer
 
     def _send_heartbeats(self) -> None:
-        """Send a heartbeat to each peer, and leave those that are silent for long."""
+        """Send heartbeats, and abort connections to peers that are silent for long."""
         now = self.state.now()
-        linked = {
+        version_by_live_peer = {
             entry_id: peer.info.protocol_version
             for entry_id, peer in self.peers_by_id_.items()
             if self.heard_.is_live(entry_id, now)
         }
-        self.shared_rules_ = self.builds_.shared_rules(linked)
-        beat = self.heartbeats.next(
+        self.shared_rules_ = self.builds_.shared_rules(version_by_live_peer)
+        heartbeat = self.heartbeats.next(
             self.fleet.stage_groups(),
             is_draining=self.is_draining_,
-            lowest_version=self.builds_.lowest_linked(linked),
+            lowest_version=self.builds_.lowest_linked(version_by_live_peer),
             confirmations=self.relays.confirmations(),
-            confirmed_version=self.relays.least_version,
+            confirmed_version=self.relays.min_version,
         )
         for entry_id, peer in list(self.peers_by_id_.items()):
             if self.heard_.is_silent(entry_id, now):
-                # The connection stands, but its peer no longer sends heartbeats.
+                # The connection is open, but its peer no longer sends heartbeats.
                 peer.abort()
                 continue
-            beat.send(peer)
+            heartbeat.send(peer)
 
     def all_know(self, rule: SharedRule) -> bool:
-        """Tell whether the build of every entry that lives knows a rule."""
+        """Return whether the build of every live entry knows a rule."""
         return rule in self.shared_rules_
 
     def is_live(self, entry_id: EntryId, now: float) -> bool:
-        """Tell whether an entry was heard a short while ago."""
+        """Return whether an entry is linked and was heard recently."""
         if entry_id not in self.peers_by_id_:
             return False
         return self.heard_.is_live(entry_id, now)
 
     def halls_by_live_entry(self) -> dict[EntryId, HallId]:
-        """Return the entries that are known to be alive, without this one."""
+        """Return the halls of the live peers that are not draining."""
         now = self.state.now()
-        # Links are few, entries many: 300 were looked through for each piece.
+        # Iterates over the few links: this runs for each piece, and a fleet may have
+        # 300 entries.
         halls: dict[EntryId, HallId] = {}
         for entry_id in self.peers_by_id_:
             entry = self.fleet.entries_by_id_.get(entry_id)
@@ -235,7 +236,7 @@
         return halls
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Record that a connection stands."""
+        """Record a new connection, and send the peer what it has to know first."""
         entry_id = EntryId(peer.info.peer_id)
         self.peers_by_id_[entry_id] = peer
         self.heard_.record_heard(entry_id, self.state.now())
@@ -243,7 +244,7 @@
         self.state.log.report(
             Event.PEER_CONNECTED, peer=entry_id, version=peer.info.protocol_version
         )
-        # Before the configuration: budgets are shared by the entries that are known.
+        # Before the configuration: budgets are divided among the known entries.
         self.news.send_entries(peer)
         self._tell_evacuations(peer, self.halls.report())
         self.crashes.send_known(peer)
@@ -264,10 +265,10 @@
         self.stages.backlog_.forget(entry_id)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
-        """Record which configuration runs at a peer."""
+        """Do nothing: `NewsExchange` reads the version from the connection."""
 
     def peer_message(self, peer: PeerConnection, message: Message) -> None:
-        """Handle one message."""
+        """Record that a peer was heard, and dispatch its message."""
         entry_id = EntryId(peer.info.peer_id)
         self.heard_.record_heard(entry_id, self.state.now())
         if self.peers_by_id_.get(entry_id) is None:
@@ -277,14 +278,14 @@
             handler(peer, message)
 
     def tell_all(self, report: EvacuationReport) -> None:
-        """Tell every peer which halls are evacuated."""
+        """Send every peer the evacuated halls."""
         for peer in list(self.peers_by_id_.values()):
             self._tell_evacuations(peer, report)
 
     def _tell_evacuations(
         self, peer: PeerConnection, report: EvacuationReport | None
     ) -> None:
-        """Tell a peer which halls are evacuated, if it can read that."""
+        """Send a peer the evacuated halls, if its build can read the message."""
         has_evacuations = self.state.bounds.evacuate_s is not None
         can_read = peer.info.protocol_version >= PROTOCOL_EVACUATIONS
         if has_evacuations and can_read and report is not None:
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_members.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_members.py
@@ -1,7 +1,7 @@
-"""Know which entries exist, and tell the store that this one does.
+"""Hold which entries exist, and register this one in the store.
 
 Owns the known entries: from the store, and from peers until the store has answered
-once. Who of them lives is left to `_links`.
+once. Which of them are alive is left to `_links`.
 """
 
 import asyncio
@@ -20,23 +20,25 @@
 )
 from leadford_server.forwarding.store import Listing, ObjectsClient, readable_record
 
-# Seconds between tries to announce this entry in the store, and the parts between which
-# each pause is drawn.
-ANNOUNCE_WAIT_S = 0.5
-ANNOUNCE_SPREAD = (0.8, 1.6)
-# Seconds over which entries write their records again that a restored store has lost.
-ANNOUNCED_AGAIN_S = 1.0
-# Seconds for which entries count whose records a restored store has lost: all hear of
-# it within the time that a confirmation lets them rest, and then write again.
-LOST_KEPT_S = 6.0
-# Seconds that the end of a planned stop waits for the store.
-RETRACT_S = 0.3
+# Base pause between attempts to register this entry in the store, and the range of the
+# random factor of each pause.
+ANNOUNCE_RETRY_S = 0.5
+ANNOUNCE_JITTER = (0.8, 1.6)
+# Entries spread rewriting their records over this time when a restored store has lost
+# them.
+REANNOUNCE_SPREAD_S = 1.0
+# Time for which entries still count after a restored store has lost their records: each
+# learns of the restoration when its rest after a confirmation ends at the latest, and
+# then writes its record again.
+LOST_ENTRY_RETENTION_S = 6.0
+# Timeout for removing the record of this entry at the end of a planned stop.
+RETRACT_TIMEOUT_S = 0.3
 
 
 class EntryMembers:
     """Hold the entries that are known to exist.
 
-    `on_change` is called with them, by id and without this one.
+    `on_change` is called with the entries by id after each change.
     """
 
     def __init__(
@@ -56,18 +58,18 @@
         self.entries_by_id_: dict[EntryId, KnownEntry] = {}
         self.has_listed_ = False
         self.listed_epoch_ = FIRST_EPOCH
-        # Entries whose records a restored store has lost, until they write them again.
+        # Entries whose records a restored store has lost, until they are rewritten.
         self.lost_by_id_: dict[EntryId, KnownEntry] = {}
         self.announced_epoch_: StoreEpoch | None = None
-        self.unannounced_ = asyncio.Event()
+        self.reannounce_needed_ = asyncio.Event()
 
     def on_list(self, listing: Listing) -> None:
-        """Read a whole listing of the store."""
+        """Apply a complete listing of the store."""
         epoch = listing.position.epoch
         if self.has_listed_ and epoch > self.listed_epoch_:
             self.lost_by_id_ = dict(self.entries_by_id_)
             loop = asyncio.get_running_loop()
-            loop.call_later(LOST_KEPT_S, self._forget_lost, epoch)
+            loop.call_later(LOST_ENTRY_RETENTION_S, self._forget_lost, epoch)
         self.has_listed_ = True
         self.listed_epoch_ = epoch
         self.entries_by_id_.clear()
@@ -76,13 +78,13 @@
             self._read(item)
         names = {self.objects.object_name(item) for item in listing.items}
         if self.own.entry_id not in names:
-            self._check_announced(epoch)
+            self._reannounce_if_lost(epoch)
         self.on_change(self.entries_by_id_)
 
-    def _check_announced(self, epoch: StoreEpoch) -> None:
-        """Write the record of this entry again if an epoch of the store lacks it."""
+    def _reannounce_if_lost(self, epoch: StoreEpoch) -> None:
+        """Request to write the record of this entry again if a new epoch lacks it."""
         if self.announced_epoch_ is not None and self.announced_epoch_ < epoch:
-            self.unannounced_.set()
+            self.reannounce_needed_.set()
 
     def _forget_lost(self, epoch: StoreEpoch) -> None:
         """Forget the entries whose records were not written again."""
@@ -94,9 +96,9 @@
         self.on_change(self.entries_by_id_)
 
     def on_event(self, event: ObjectEvent) -> None:
-        """Read one change in the store."""
+        """Apply one change in the store."""
         name = EntryId(self.objects.object_name(event.item))
-        # A record that cannot be read names no entry, as one that is gone.
+        # An unreadable record names no entry, the same as a deleted one.
         self.entries_by_id_.pop(name, None)
         self.lost_by_id_.pop(name, None)
         if not event.is_gone:
@@ -104,10 +106,10 @@
         self.on_change(self.entries_by_id_)
 
     def on_confirmed(self) -> None:
-        """Do nothing: how old the list of entries is decides nothing."""
+        """Do nothing: no decision depends on the age of the list of entries."""
 
     def learn(self, entries: list[KnownEntry]) -> None:
-        """Believe a peer until the store has told which entries exist."""
+        """Add the entries that a peer names, until the store has listed them once."""
         if self.has_listed_:
             return
         for entry in entries:
@@ -117,33 +119,34 @@
     async def announce(self) -> None:
         """Keep the record of this entry in the store until cancelled."""
         while True:
-            self.unannounced_.clear()
+            self.reannounce_needed_.clear()
             await self._write()
             self.announced_epoch_ = self.client.epochs.current_
-            await self.unannounced_.wait()
-            # All entries of a fleet find their records lost within a short time.
-            await asyncio.sleep(self.random.uniform(0.0, ANNOUNCED_AGAIN_S))
+            await self.reannounce_needed_.wait()
+            # All entries of a fleet detect the loss of their records at about the same
+            # time.
+            await asyncio.sleep(self.random.uniform(0.0, REANNOUNCE_SPREAD_S))
 
     async def _write(self) -> None:
-        """Write in the store that this entry exists, trying until it is done."""
+        """Write the record of this entry to the store, and retry until it succeeds."""
         path = self.objects.object_path(self.objects.entries_kind, "")
         body = self.objects.entry_object(self.own)
         while True:
             made = await self.client.call(path, method="POST", body=body)
             if not isinstance(made, Failure) or made.failure() is StoreFailure.CONFLICT:
                 return
-            spread = self.random.uniform(*ANNOUNCE_SPREAD)
-            await asyncio.sleep(ANNOUNCE_WAIT_S * spread)
+            spread = self.random.uniform(*ANNOUNCE_JITTER)
+            await asyncio.sleep(ANNOUNCE_RETRY_S * spread)
 
     async def retract(self) -> None:
-        """Remove this entry from the store, if the store answers soon."""
+        """Remove the record of this entry, if the store answers in time."""
         path = self.objects.object_path(self.objects.entries_kind, self.own.entry_id)
         try:
-            async with asyncio.timeout(RETRACT_S):
+            async with asyncio.timeout(RETRACT_TIMEOUT_S):
                 await self.client.call(path, method="DELETE")
         except TimeoutError:
-            # The client has logged that the store is away; peers see that this one
-            # left.
+            # The client logs that the store is unavailable, and peers notice that this
+            # entry left.
             return
 
     def _read(self, item: dict) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_news.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_news.py
@@ -1,8 +1,9 @@
-"""Spread configuration, listing of endpoints and known entries between entries.
+"""Exchange the configuration, listings of endpoints and known entries with peers.
 
-So an entry that the store turns away follows its neighbours, and entries that restart
-while the store is away find each other. What is received is put in force by its owner
-(`on_config`, `on_listing`, `on_entries`), which keeps what is newer.
+An entry whose calls the store rejects is thus kept up to date by its peers, and entries
+that restart during an outage of the store find each other. The owner of the data
+(`on_config`, `on_listing`, `on_entries`) applies what is received, unless what it has
+is newer.
 """
 
 from collections.abc import Callable, Mapping
@@ -44,21 +45,21 @@
 from leadford_server.metrics import NEWS_BYTES_TOTAL
 from leadford_server.peers import PeerConnection
 
-# Characters of a decoding error that a log line holds.
-ERROR_LOGGED = 200
-# What the metric of bytes says of each event.
+# A decoding error is cut to this length in a log line.
+ERROR_LOGGED_MAX_CHARS = 200
+# Label of the metric of transferred bytes for each event.
 DIRECTION_BY_EVENT = {Event.NEWS_SENT: "sent", Event.NEWS_RECEIVED: "received"}
 
 
 class NewsKind(Enum):
-    """Say what entries tell each other when they are asked."""
+    """Name what an entry can request from a peer."""
 
     CONFIG = "config"
     LISTING = "listing"
 
 
 class NewsExchange:
-    """Ask peers that know better, and answer those that ask."""
+    """Request newer data from peers, and answer their requests."""
 
     def __init__(
         self,
@@ -82,7 +83,7 @@
         self.parts_ = ConfigParts()
 
     def handlers(self) -> MessageHandlers:
-        """Return what handles each kind of message here."""
+        """Return the handler of each type of message that this exchange receives."""
         return {
             EntryListing: self._on_entries,
             ForwardConfigRequest: self._send_config,
@@ -95,13 +96,13 @@
         }
 
     def version(self) -> int:
-        """Return the version of the configuration in force, 0 without one."""
+        """Return the version of the configuration in force, or 0 if there is none."""
         return self.state.config_version()
 
     def ask_if_behind(
         self, peer: PeerConnection, message: EntryHeartbeat, now: float
     ) -> None:
-        """Ask a peer that has known better for a while."""
+        """Request what a peer has had in a newer version for a while."""
         version = self.version()
         heard = peer.peer_config_version_
         self.state.heard_versions_.record(heard, version, now)
@@ -117,7 +118,7 @@
     def _position(
         self, peer: PeerConnection, epoch: int, revision: int
     ) -> StorePosition:
-        """Return where in the history of the store a peer's news belong."""
+        """Return the position in the history of the store of data from a peer."""
         if peer.info.protocol_version < PROTOCOL_EPOCHS:
             epoch = self.state.epochs_.of_untold()
         return StorePosition(StoreEpoch(epoch), revision)
@@ -128,7 +129,7 @@
         self.listing_fetch_.record_lost(entry_id)
 
     def _ask_config(self, peer: PeerConnection, version: int, now: float) -> None:
-        """Ask a peer for its configuration, or for what is missing of a version."""
+        """Request the configuration of a peer, or the missing rest of a download."""
         self._log_request(peer, NewsKind.CONFIG, version)
         self.config_fetch_.record_asked(EntryId(peer.info.peer_id), now)
         if peer.info.protocol_version < PROTOCOL_CONFIG_PARTS:
@@ -136,12 +137,12 @@
             return
         download = self.download_
         if download.version_ <= version:
-            # The store was faster.
+            # The store has delivered this version or a newer one meanwhile.
             download.clear()
         peer.send(ConfigPartRequest(version, download.version_, download.offset))
 
     def _send_part(self, peer: PeerConnection, message: ConfigPartRequest) -> None:
-        """Send the part that a peer asks for, unless it knows as much."""
+        """Send the requested part, unless the peer has the same or a newer version."""
         table = self.state.table_
         if table is None or table.config.version <= message.known_version:
             return
@@ -153,12 +154,12 @@
         peer.send(ConfigPartAnswer(part.version, part.total, part.offset, part.data))
 
     def _on_part(self, peer: PeerConnection, message: ConfigPartAnswer) -> None:
-        """Add a part, and ask for the next one until the configuration is whole."""
+        """Add a part, and request the next one until the configuration is complete."""
         fetch = self.config_fetch_
         version = self.version()
         part = ConfigPart(message.version, message.total, message.offset, message.data)
         if message.version <= version or not self.download_.fits(part):
-            # The store was faster, or the part has come from another peer.
+            # The store has delivered this version, or another peer this part.
             return
         now = self.state.now()
         fetch.record_part(now)
@@ -179,7 +180,7 @@
         self.on_config(config, peer.info.peer_id)
 
     def send_entries(self, peer: PeerConnection) -> None:
-        """Tell a new peer which entries exist."""
+        """Send a new peer the entries that are known to exist."""
         own = EntryAddress(self.own.entry_id, self.own.address, self.own.hall)
         known = [
             EntryAddress(entry.entry_id, entry.address, entry.hall)
@@ -263,7 +264,7 @@
     def _read_listing(
         self, message: ListingAnswer | PackedListing
     ) -> Result[list[ListedEndpoint], str]:
-        """Return the endpoints that a message holds; pass over what cannot be read."""
+        """Return the endpoints in a message; skip and log those that are unreadable."""
         if isinstance(message, PackedListing):
             read = unpack(message.endpoints, list[msgspec.Raw])
         else:
@@ -284,7 +285,9 @@
         return Success(found)
 
     def _log_unreadable(self, fault: str) -> None:
-        self.state.log.report(Event.CONFIG_UNREADABLE, error=fault[:ERROR_LOGGED])
+        self.state.log.report(
+            Event.CONFIG_UNREADABLE, error=fault[:ERROR_LOGGED_MAX_CHARS]
+        )
 
     def _log_request(self, peer: PeerConnection, kind: NewsKind, known: int) -> None:
         self.state.log.report(
@@ -318,7 +321,7 @@
 def _listing_answer(
     listed: list[ListedEndpoint], position: StorePosition, *, is_packed: bool
 ) -> ListingAnswer | PackedListing:
-    """Return listed endpoints as they travel."""
+    """Return the message that carries listed endpoints."""
     revision, epoch = position.revision, position.epoch
     if is_packed:
         return PackedListing(revision, pack(listed), epoch)
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_placing.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_placing.py
@@ -1,9 +1,9 @@
-"""Have one entry place the prompts of all at the engines, and ask it.
+"""Let one entry place the prompts of all entries at the engines, and query it.
 
-Owns the questions that wait for an answer, and at the entry that places, the prompts
-that it has placed. Which engine is chosen, and for how long an answer is waited for, is
-decided in `leadford.forwarding.endpoints`; which entry places follows from those that
-live. Whoever gets no answer in time chooses by itself.
+Owns the pending queries and, at the placing entry, the prompts that it has placed. The
+choice of the engine and the timeout of a query are decided in
+`leadford.forwarding.endpoints`; which entry places follows from which ones are alive.
+An entry that gets no answer in time chooses an engine itself.
 """
 
 import asyncio
@@ -35,11 +35,11 @@
 
 
 class EnginePlacing:
-    """Ask for the engines of own prompts, and place those of others.
+    """Request engines for own prompts, and place the prompts of others.
 
     `group_of` returns the group of engines of a service that reads a prompt, found by
-    the part that gives it to a pool; `placer_of` returns the live entry that places for
-    a group; `all_know` tells whether the build of every live entry knows a rule.
+    the part that assigns it to a pool; `placer_of` returns the live entry that places
+    for a group; `all_know` returns whether the build of every live entry knows a rule.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.next_id_ = 0
 
     def handlers(self) -> MessageHandlers:
-        """Return what handles each kind of message here."""
+        """Return the handler of each type of message that this exchange receives."""
         return {
             PlaceRequest: self._on_request,
             PlaceAnswer: self._on_answer,
@@ -69,7 +69,7 @@
         }
 
     def takes(self, service: Service) -> bool:
-        """Tell whether one entry chooses the endpoints of a service for all.
+        """Return whether one entry chooses the endpoints of a service for all.
 
         Where endpoints may be cold, each entry still says which of them it may use.
         """
@@ -80,7 +80,7 @@
         return self.all_know(SharedRule.COLD_ENGINES_PLACED)
 
     def knows_all(self, service_id: ServiceId, prompt: PromptShape) -> bool:
-        """Tell whether this entry places the prompts of all that are like this one."""
+        """Return whether this entry places all prompts of the group of this one."""
         group = self.group_of(service_id, prompt.pool_key)
         return group is not None and self.placer_of(group) == self.state.entry_id
 
@@ -92,7 +92,7 @@
         excluded: Collection[EndpointId],
         bytes_by_hall: dict[HallId, int],
     ) -> PlacedEngine | None:
-        """Return the engine that the placing entry chose; None if it said none."""
+        """Return the engine that the placing entry chose, or None without an answer."""
         group = self.group_of(service_id, prompt.pool_key)
         placer = self.placer_of(group) if group is not None else None
         peer = self.peers_by_id.get(placer)
@@ -117,32 +117,32 @@
         record = self.state.roster_.record(endpoint_id)
         if record is None or not self.state.is_usable(record):
             PLACED_TOTAL.labels(end="not usable").inc()
-            self._tell_read(placer, ask_id)
+            self._send_read(placer, ask_id)
             return None
         PLACED_TOTAL.labels(end="placed").inc()
-        return PlacedEngine(record, lambda: self._tell_read(placer, ask_id))
+        return PlacedEngine(record, lambda: self._send_read(placer, ask_id))
 
     async def _wait_answer(self, ask_id: int, placer: EntryId) -> EndpointId | None:
-        """Return the engine that the placing entry names; None if it names none soon.
+        """Return the engine that the placing entry names, or None after a timeout.
 
-        It is told at once of a question whose answer is not waited for any more.
+        If the query is abandoned, the placing entry is notified at once.
         """
         answer = self.state.loop.create_future()
         self.answers_by_id_[ask_id] = answer
         try:
             return await asyncio.wait_for(answer, PLACED_IN_S)
         except TimeoutError:
-            self._tell_read(placer, ask_id)
+            self._send_read(placer, ask_id)
             return None
         except asyncio.CancelledError:
-            # The caller left meanwhile.
-            self._tell_read(placer, ask_id)
+            # The caller has disconnected.
+            self._send_read(placer, ask_id)
             raise
         finally:
             self.answers_by_id_.pop(ask_id, None)
 
-    def _tell_read(self, placer: EntryId, ask_id: int) -> None:
-        """Tell the placing entry that a prompt does not wait there any more."""
+    def _send_read(self, placer: EntryId, ask_id: int) -> None:
+        """Notify the placing entry that a prompt is no longer waiting."""
         peer = self.peers_by_id.get(placer)
         if peer is not None:
             peer.send(PromptRead(ask_id))
@@ -155,7 +155,7 @@
             if record is not None:
                 placed_id = PlacedId(EntryId(peer.info.peer_id), message.ask_id)
                 sent = self.state.engines_.record_sent(
-                    record, _shape(message), service.engine.memory_tokens
+                    record, _prompt_shape(message), service.engine.memory_tokens
                 )
                 self.placed.record_placed(placed_id, sent, self.state.now())
                 endpoint_id = record.listed.endpoint_id
@@ -164,7 +164,7 @@
     def _choose(self, service: Service, message: PlaceRequest) -> EndpointRecord | None:
         return self.state.engines_.choose(
             self.state.usable(service.service_id),
-            _shape(message),
+            _prompt_shape(message),
             excluded={EndpointId(text) for text in message.excluded},
             bytes_by_hall={
                 HallId(hall): count for hall, count in message.bytes_by_hall.items()
@@ -183,7 +183,7 @@
         self.placed.record_read(placed_id)
 
 
-def _shape(message: PlaceRequest) -> PromptShape:
-    """Return the prompt that a peer asks for."""
+def _prompt_shape(message: PlaceRequest) -> PromptShape:
+    """Return the prompt for which a peer requests a place."""
     parts = tuple(PromptPart(part.part_id, part.tokens) for part in message.parts)
     return PromptShape(parts, message.tokens_in)
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
@@ -1,10 +1,10 @@
-"""Pass on what the store says: a few entries follow it, the others hear from them.
+"""Relay changes in the store: a few entries follow it and inform all others.
 
-Those that follow send each change at once, and with each heartbeat when the store last
-confirmed that nothing is missing. Configurations are larger than other changes, so only
-their version is told and `_news` fetches them. Who follows, and for how long others
-rest, is decided in `leadford.forwarding.membership`; the followers of `_follow` take
-what comes here.
+Followers send each change at once, and with each heartbeat the time at which the store
+last confirmed that no change is missing. Configurations are larger than other changes,
+so only their version is sent and `_news` fetches them. Which entries follow, and for
+how long others rest (make no calls to the store), is decided in
+`leadford.forwarding.membership`; the followers of `_follow` apply what is received.
 """
 
 import json
@@ -38,15 +38,15 @@
 from leadford_server.metrics import RELAYED_NEWS_TOTAL
 from leadford_server.peers import PeerConnection
 
-# Characters of a decoding error that a log line holds.
-ERROR_LOGGED = 200
+# A decoding error is cut to this length in a log line.
+ERROR_LOGGED_MAX_CHARS = 200
 
 
 class StoreRelays:
-    """Tell other entries what the store says, and take what they tell.
+    """Send changes in the store to other entries, and apply those from them.
 
     `config_kind` is the kind whose changes are not passed on; `followers` returns the
-    entries that follow the store, and how many entries there are.
+    entries that follow the store, `entry_count` the number of all entries.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.clocks_by_peer_: dict[EntryId, PeerClock] = {}
 
     def handlers(self) -> MessageHandlers:
-        """Return what handles each kind of message here."""
+        """Return the handler of each type of message that this exchange receives."""
         return {
             StoreConfirmations: self._on_confirmations,
             StoreChanges: self._on_changes,
@@ -75,33 +75,35 @@
         }
 
     def add(self, follower: KindFollower) -> None:
-        """Pass on the news of a follower, and give it those of others."""
+        """Pass a follower's changes on, and give it those from other entries."""
         self.follower_by_kind_[follower.kind] = follower
 
     @property
     def follows(self) -> bool:
-        """Tell whether this entry follows the store."""
+        """Return whether this entry follows the store."""
         return self.state.entry_id in self.followers()
 
     @property
     def others_rest(self) -> bool:
-        """Tell whether some entries hear of the store only from others."""
+        """Return whether some entries learn of changes only from others."""
         return len(self.followers()) < self.entry_count()
 
     @property
-    def least_version(self) -> int:
-        """Return from which build on others can tell what belongs to which epoch.
+    def min_version(self) -> int:
+        """Return the lowest protocol version of peers to exchange changes with.
 
-        An entry of an older build that rested on what it is told could not see that
-        revisions were given out again, nor say from which epoch its own come.
+        Once the store reports epochs, peers have to support them: an entry of an older
+        build could not see that a restored store gives revisions out again, nor say to
+        which epoch its own belong.
         """
         return PROTOCOL_EPOCHS if self.state.epochs_.is_told_ else PROTOCOL_FLEET
 
     def tell(self, kind: str, after: StorePosition, seen: ObjectEvents) -> None:
-        """Pass changes on that the store told this entry.
+        """Pass changes on that this entry received from the store.
 
-        Packed, because each of them goes to every entry: a thousand endpoints that
-        start go from 254 kB to 20 kB in 2.3 ms, and back in 1.4 ms (by encoding).
+        They are packed, because every entry receives each of them: the changes of a
+        thousand endpoints that start shrink from 254 kB to 20 kB in 2.3 ms, and unpack
+        in 1.4 ms.
         """
         if kind == self.config_kind or not (self.follows and self.others_rest):
             return
@@ -115,12 +117,12 @@
         packed = PackedChanges(*head, pack(changes), seen.epoch)
         for peer in list(self.peers_by_id.values()):
             version = peer.info.protocol_version
-            if version < self.least_version:
+            if version < self.min_version:
                 continue
             peer.send(packed if version >= PROTOCOL_PACKED else plain)
 
     def confirmations(self) -> StoreConfirmations | None:
-        """Return what the store confirmed here, if this entry follows it for others."""
+        """Return what the store has confirmed, if this entry follows it for others."""
         if not (self.follows and self.others_rest):
             return None
         kinds = []
@@ -145,16 +147,16 @@
         return StoreConfirmations(self.state.now() * 1_000.0, kinds)
 
     def _changed_revision(self, follower: KindFollower, position: StorePosition) -> int:
-        """Return the last change of a kind within the epoch of a position."""
+        """Return the revision of the last change in the epoch of a position, or 0."""
         changed = follower.changed_position_
         return changed.revision if changed.epoch == position.epoch else 0
 
     def forget(self, entry_id: EntryId) -> None:
-        """Forget a peer whose link ended: its next process has another clock."""
+        """Forget a peer whose link ended: its next process has a different clock."""
         self.clocks_by_peer_.pop(entry_id, None)
 
-    def _clock(self, peer: PeerConnection, sent_ms: float) -> PeerClock:
-        """Return the clock of a peer, with a message of it recorded."""
+    def _record_clock(self, peer: PeerConnection, sent_ms: float) -> PeerClock:
+        """Record the send time of a message of a peer, and return the peer's clock."""
         entry_id = EntryId(peer.info.peer_id)
         clock = self.clocks_by_peer_.setdefault(entry_id, PeerClock())
         clock.record(sent_ms / 1_000.0, self.state.now())
@@ -163,29 +165,31 @@
     def _on_confirmations(
         self, peer: PeerConnection, message: StoreConfirmations
     ) -> None:
-        clock = self._clock(peer, message.sent_ms)
-        if not self._can_place(peer):
+        clock = self._record_clock(peer, message.sent_ms)
+        if not self._can_place_in_history(peer):
             return
-        for told in message.kinds:
-            follower = self.follower_by_kind_.get(told.kind)
+        for confirmation in message.kinds:
+            follower = self.follower_by_kind_.get(confirmation.kind)
             if follower is None:
                 continue
-            self._learn_epoch(peer, told.epoch)
-            if not self._knows(follower, told):
-                if told.kind != self.config_kind:
-                    # Changes travel before their confirmation, so one was missed.
+            self._learn_epoch(peer, confirmation.epoch)
+            if not self._is_up_to_date(follower, confirmation):
+                if confirmation.kind != self.config_kind:
+                    # Changes are sent before their confirmation, so one was missed.
                     follower.poll_now()
                 continue
-            moment = clock.own_moment(told.confirmed_ms / 1_000.0)
-            position = StorePosition(StoreEpoch(told.epoch), told.revision)
-            follower.learn_confirmed(position, moment)
+            confirmed_at = clock.own_moment(confirmation.confirmed_ms / 1_000.0)
+            position = StorePosition(
+                StoreEpoch(confirmation.epoch), confirmation.revision
+            )
+            follower.learn_confirmed(position, confirmed_at)
 
-    def _can_place(self, peer: PeerConnection) -> bool:
-        """Tell whether a peer's news can be placed in the history of the store."""
-        return peer.info.protocol_version >= self.least_version
+    def _can_place_in_history(self, peer: PeerConnection) -> bool:
+        """Return whether data of a peer can be placed in the history of the store."""
+        return peer.info.protocol_version >= self.min_version
 
     def _learn_epoch(self, peer: PeerConnection, epoch: int) -> None:
-        """Record the epoch that a peer knows, and log that another one began."""
+        """Record the epoch that a peer knows, and log it if it is a new one."""
         before = self.state.epochs_.current_
         if self.state.epochs_.record_told(StoreEpoch(epoch)):
             self.state.log.report(
@@ -195,44 +199,48 @@
                 source=peer.info.peer_id,
             )
 
-    def _knows(self, follower: KindFollower, told: StoreConfirmation) -> bool:
-        """Tell whether this entry knows as much as a peer was confirmed to know."""
-        if told.kind == self.config_kind:
-            return self.state.config_version() >= told.version
+    def _is_up_to_date(
+        self, follower: KindFollower, confirmation: StoreConfirmation
+    ) -> bool:
+        """Return whether this entry knows all changes that a confirmation covers."""
+        if confirmation.kind == self.config_kind:
+            return self.state.config_version() >= confirmation.version
         known = follower.position_
-        changed_at = StorePosition(StoreEpoch(told.epoch), told.changed_revision)
+        changed_at = StorePosition(
+            StoreEpoch(confirmation.epoch), confirmation.changed_revision
+        )
         return known is not None and known >= changed_at
 
     def _on_changes(
         self, peer: PeerConnection, message: StoreChanges | PackedChanges
     ) -> None:
-        clock = self._clock(peer, message.sent_ms)
+        clock = self._record_clock(peer, message.sent_ms)
         follower = self.follower_by_kind_.get(message.kind)
-        if follower is None or not self._can_place(peer):
+        if follower is None or not self._can_place_in_history(peer):
             return
         epoch = StoreEpoch(message.epoch)
         self._learn_epoch(peer, epoch)
         if StorePosition(epoch, message.revision) <= (follower.position_ or START):
-            # Another follower was faster.
+            # The changes have already arrived from another follower.
             RELAYED_NEWS_TOTAL.labels(kind=message.kind, end="known").inc()
             return
         read = self._read_changes(message, follower.client.codec)
         if isinstance(read, Failure):
             self.state.log.report(
-                Event.CONFIG_UNREADABLE, error=read.failure()[:ERROR_LOGGED]
+                Event.CONFIG_UNREADABLE, error=read.failure()[:ERROR_LOGGED_MAX_CHARS]
             )
             return
         events = read.unwrap()
-        moment = clock.own_moment(message.sent_ms / 1_000.0)
+        confirmed_at = clock.own_moment(message.sent_ms / 1_000.0)
         seen = ObjectEvents(events, message.revision).in_epoch(epoch)
-        fits = follower.learn(message.after_revision, seen, moment)
+        fits = follower.learn(message.after_revision, seen, confirmed_at)
         end = "taken" if fits else "gap"
         RELAYED_NEWS_TOTAL.labels(kind=message.kind, end=end).inc()
 
     def _read_changes(
         self, message: StoreChanges | PackedChanges, codec: ObjectCodec
     ) -> Result[list[ObjectEvent], str]:
-        """Return the changes that a message holds; pass over what cannot be read."""
+        """Return the changes in a message; skip and log those that are unreadable."""
         read: Result[list[StoreChange], str] = Success(message.changes)
         if isinstance(message, PackedChanges):
             read = unpack(message.changes, list[StoreChange])
@@ -250,7 +258,7 @@
 
 
 def _encoded(item: dict) -> bytes:
-    """Return an object as JSON, whatever another writer put in it."""
+    """Return an object as JSON, also where msgspec cannot encode its values."""
     try:
         return msgspec.json.encode(item)
     except (ArithmeticError, UnicodeError):
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_members.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Entries stay known to each other where the store loses what they wrote."""
+"""Entries stay known to each other when the store loses their records."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
     StoreFailure,
 )
 from leadford_server.forwarding.membership import EntryMembers
-from leadford_server.forwarding.membership._members import LOST_KEPT_S
+from leadford_server.forwarding.membership._members import LOST_ENTRY_RETENTION_S
 from leadford_server.forwarding.store import Listing
 from leadford_standins.simulated import run_simulated
 
@@ -25,7 +25,7 @@
 
 
 class Client:
-    """Keep what is written, and when; the store refuses while it is away."""
+    """Record what is written; calls fail while the store is unavailable."""
 
     def __init__(self):
         self.epochs = StoreEpochs()
@@ -52,7 +52,7 @@
     return Listing([record(name) for name in names], position)
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run():
         client = Client()
         members = EntryMembers(
@@ -78,7 +78,7 @@
         await asyncio.sleep(1.1)
         assert client.written_ == [("POST", "e1")] * 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_entry_whose_record_is_in_the_copy_writes_nothing():
@@ -88,7 +88,7 @@
         await asyncio.sleep(2.0)
         assert client.written_ == [("POST", "e1")]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_entry_writes_its_record_again_after_each_of_two_restorations():
@@ -99,7 +99,7 @@
             await asyncio.sleep(1.1)
         assert client.written_ == [("POST", "e1")] * 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_entry_that_writes_while_the_store_is_away_tries_until_it_is_done():
@@ -112,19 +112,19 @@
         await asyncio.sleep(1.0)
         assert client.written_ == [("POST", "e1")] * 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_entries_whose_records_are_lost_count_until_they_are_written_again():
     async def scenario(members, client):
         members.on_list(listing(2, "e1", "e2"))
         assert set(members.entries_by_id_) == {"e1", "e2", "e3"}
-        await asyncio.sleep(LOST_KEPT_S + 0.1)
+        await asyncio.sleep(LOST_ENTRY_RETENTION_S + 0.1)
         assert set(members.entries_by_id_) == {"e1", "e2"}
         members.on_event(ObjectEvent(record("e3"), False, 12, StoreEpoch(2)))
         assert set(members.entries_by_id_) == {"e1", "e2", "e3"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_entry_that_leaves_after_the_store_was_restored_does_not_count():
@@ -133,14 +133,14 @@
         members.on_event(ObjectEvent(record("e3"), True, 12, StoreEpoch(2)))
         assert set(members.entries_by_id_) == {"e1", "e2"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_entry_that_wrote_its_record_again_stays():
     async def scenario(members, client):
         members.on_list(listing(2, "e1", "e2"))
         members.on_event(ObjectEvent(record("e3"), False, 12, StoreEpoch(2)))
-        await asyncio.sleep(LOST_KEPT_S + 0.1)
+        await asyncio.sleep(LOST_ENTRY_RETENTION_S + 0.1)
         assert set(members.entries_by_id_) == {"e1", "e2", "e3"}
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_restored_store.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_restored_store.py
@@ -1,7 +1,8 @@
-"""Entries know what a store says that came back from a copy.
+"""Entries stay up to date with a store that was restored from a copy.
 
-Three entries follow the store and three hear from them, on a simulated clock. The store
-is away, comes back without its last changes, and gives their revisions out again.
+Three entries follow the store and three learn from them, on a simulated clock. The
+store is unavailable, is restored without its last changes, and gives their revisions
+out again.
 """
 
 import asyncio
@@ -12,13 +13,13 @@
 from leadford_standins.simulated import run_simulated
 from leadford_standins.wire import SimulatedFleet
 
-# Seconds within which a change is known.
+# Time within which every entry knows of a change.
 BOUND_S = 3.0
 SEEDS = range(10)
 
 
 async def lose_changes(fleet, lost=2, away_s=2.5):
-    """Let the store lose changes of another kind."""
+    """Restore the store to a copy that lacks changes of another kind."""
     held = fleet.store.copy()
     for _ in range(lost):
         await asyncio.sleep(0.5)
@@ -28,7 +29,7 @@
 
 
 def unaware_of_leaving(seed, settled_s):
-    """Return which entries do not know in time that an endpoint leaves."""
+    """Return the entries that do not learn in time that an endpoint leaves."""
 
     async def run():
         fleet = SimulatedFleet(seed=seed)
@@ -39,7 +40,7 @@
         await lose_changes(fleet)
         await asyncio.sleep(settled_s)
         fleet.change_other_kind()
-        # This revision had been given out before.
+        # The store gave this revision out before the restoration.
         fleet.put("a", "draining")
         await asyncio.sleep(0.1)
         fleet.change_other_kind()
@@ -59,7 +60,7 @@
 
 
 def unaware_of(change, *, seed=1, lost=2, before=None, after=None, **fields):
-    """Return the entries that do not list as the store does, some time after."""
+    """Return the entries whose listing differs from the store's after the bound."""
 
     async def run():
         fleet = SimulatedFleet(seed=seed, **fields)
@@ -103,7 +104,7 @@
 
 
 def test_what_was_written_before_any_entry_asks_the_restored_store_is_known():
-    """The revisions have passed the old ones already, so no watch ends in 410."""
+    """No watch ends with 410, as the new revisions have passed the old ones."""
 
     async def run():
         fleet = SimulatedFleet()
@@ -139,10 +140,10 @@
     async def cut_off(fleet):
         fleet.entries[-1].is_cut_off_ = True
 
-    async def let_in(fleet):
+    async def reconnect(fleet):
         fleet.entries[-1].is_cut_off_ = False
 
-    left = unaware_of(lambda fleet: fleet.put("f"), before=cut_off, after=let_in)
+    left = unaware_of(lambda fleet: fleet.put("f"), before=cut_off, after=reconnect)
     assert left == []
 
 
@@ -159,7 +160,7 @@
         await fleet.be_away(0.5, old)
         fleet.put("c")
         await asyncio.sleep(2.0)
-        # Some calls reach the store as it was before.
+        # Some calls reach the store in its state before the restoration.
         present, past = store.copy(), store.era_ - 1
         store.objects_by_kind_, store.era_ = old.objects_by_kind, past
         await asyncio.sleep(2.0)
@@ -189,8 +190,8 @@
         await asyncio.sleep(10.0)
         fleet.stop()
         older, *rest = fleet.entries
-        assert rest[0].relays.least_version > older.version
-        # They ask by themselves, at least once in the time that they may rest.
+        assert rest[0].relays.min_version > older.version
+        # They call the store themselves, at least once per rest.
         return [entry.client_.calls_ for entry in rest]
 
     assert min(run_simulated(run())) >= 4
@@ -225,5 +226,5 @@
         after = sum(entry.client_.calls_ for entry in fleet.entries)
         return after - before
 
-    # One listing for each entry, and the watches of the three that follow.
+    # One listing for each entry, and the watches of the three followers.
     assert run_simulated(run()) <= 23 + 3 * 6
