--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_news.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_news.py
@@ -1,4 +1,4 @@
-"""What an entry asks its peers for comes in force, however slow their links are."""
+"""Data that an entry requests from peers is applied, however slow their links are."""
 
 import zlib
 from random import Random
@@ -36,7 +36,7 @@
 
 
 class Clock:
-    """Stand in for the event loop, of which only the clock is asked."""
+    """Stand in for the event loop, of which only the clock is used."""
 
     def __init__(self):
         self.now = 10.0
@@ -46,7 +46,7 @@
 
 
 class Peer:
-    """Run a newer version, and keep what is asked."""
+    """Stand in for a peer with a newer version, and record what it is asked."""
 
     def __init__(self, number):
         self.info = SimpleNamespace(peer_id=f"entry-{number}", protocol_version=2)
@@ -85,11 +85,11 @@
 
 
 def test_a_configuration_comes_though_each_answer_takes_longer_than_a_stall():
-    """A transfer is begun anew by the clock, and never ends.
+    """A transfer must not restart forever where answers are slow.
 
-    Sequence: links are choked, so that each answer of a peer takes 1.2 s; after 1 s
-    without one another peer is asked, from the beginning; the answer of the first
-    comes 0.2 s later and is thrown away, and so is every one after it.
+    Links are so slow that each answer of a peer takes 1.2 s. If after 1 s without an
+    answer another peer is asked from the beginning, the answer of the first arrives
+    0.2 s later and is discarded, and so is every later one.
     """
     clock = Clock()
     exchange = new_exchange(clock)
@@ -115,12 +115,12 @@
 
 
 def test_a_peer_is_asked_before_the_bound_though_the_store_sends_slowly():
-    """An entry refuses requests while its peers have what it lacks.
+    """An entry must not refuse requests while its peers have what it lacks.
 
-    Sequence: the store's answer arrives, a little at a time (a slow store, a slow
-    link, an answer that holds several versions); no peer is asked meanwhile, for up
-    to 20 s, though what a peer sends is a twentieth of it; after 1.5 s the entry
-    refuses everything and is not ready.
+    The store's answer arrives slowly (a slow store, a slow link, an answer that holds
+    several versions). If no peer is asked meanwhile, for up to 20 s, although what a
+    peer sends is a twentieth of it, the entry refuses all requests after 1.5 s and is
+    not ready.
     """
     clock = Clock()
     exchange = new_exchange(clock)
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize("version", [PROTOCOL_FLEET, PROTOCOL_PACKED])
 def test_a_listing_reaches_entries_that_pack_and_those_that_do_not(version):
     clock = Clock()
-    teller, hearer = new_exchange(clock), new_exchange(clock)
+    sender, receiver = new_exchange(clock), new_exchange(clock)
     endpoint = ListedEndpoint(
         endpoint_id=EndpointId("e1"),
         service_id=ServiceId("s"),
@@ -149,15 +149,15 @@
         slots=4,
         revision=9,
     )
-    teller.state.roster_.put(endpoint)
+    sender.state.roster_.put(endpoint)
     learned = []
-    hearer.on_listing = lambda listed, revision: learned.append((listed, revision))
+    receiver.on_listing = lambda listed, revision: learned.append((listed, revision))
     sent = []
     peer = Peer(1)
     peer.info.protocol_version = version
     peer.send = sent.append
-    teller.handlers()[ListingRequest](peer, ListingRequest(0))
-    hearer.handlers()[type(sent[0])](peer, sent[0])
+    sender.handlers()[ListingRequest](peer, ListingRequest(0))
+    receiver.handlers()[type(sent[0])](peer, sent[0])
     assert learned == [([endpoint], StorePosition(FIRST_EPOCH, 9))]
 
 
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_relays.py
@@ -1,8 +1,8 @@
-"""Entries that hear of the store from others know each change within the bound.
+"""Entries that learn of changes only from others know each one within the bound.
 
 Replays a fleet in simulated time: three entries follow the store, one rests. The store
-is changed at each moment of the watches, while the followers work, are gone, are deaf
-to the store, or what they say is late.
+changes at various moments of the watches, while the followers work, have stopped, get
+no answer from the store, or send messages that arrive late.
 """
 
 import asyncio
@@ -40,19 +40,20 @@
 CHANGED_AT_S = [20.0 + tenths / 10.0 for tenths in range(0, 40, 3)]
 
 
-class Failing(Enum):
-    """Say what the followers suffer, from 0.1 s before the change."""
+class FollowerFault(Enum):
+    """Name the fault of the followers, from 0.1 s before the change."""
 
     NOTHING = "nothing"
-    GONE = "they are gone"
-    DEAF = "the store never answers them"
+    STOPPED = "they are gone"
+    UNANSWERED = "the store never answers them"
     LATE = "what they say takes 2 s to arrive"
 
 
 class Store:
-    """Hold one object that changes once; watches of the deaf are never answered.
+    """Hold one object that changes once.
 
-    For `outage_s` before the change every call is refused.
+    Calls that would be answered after `unanswered_from` get no answer. For `outage_s`
+    before the change every call is refused.
     """
 
     def __init__(self, changed_at, outage_s=0.0):
@@ -63,7 +64,7 @@
     def revision(self, now):
         return 6 if now >= self.changed_at else 5
 
-    async def call(self, path, wait_s, margin_s, deaf_from):
+    async def call(self, path, wait_s, margin_s, unanswered_from):
         loop = asyncio.get_running_loop()
         self.calls += 1
         now = loop.time()
@@ -75,7 +76,7 @@
         ends_at = now + (wait_s if known == self.revision(now) else 0.0)
         if now < self.changed_at <= ends_at:
             ends_at = self.changed_at
-        if ends_at + ANSWER_S >= deaf_from:
+        if ends_at + ANSWER_S >= unanswered_from:
             await asyncio.sleep(wait_s + margin_s)
             return Failure(StoreFailure.NO_ANSWER)
         await asyncio.sleep(ends_at + ANSWER_S - now)
@@ -89,22 +90,22 @@
 
 
 class Client:
-    def __init__(self, store, deaf_from):
+    def __init__(self, store, unanswered_from):
         self.codec = PlatformObjects()
         self.log = SimpleNamespace(report=lambda event, **fields: None)
         self.epochs = StoreEpochs()
         self.is_silent_ = False
         self.store = store
-        self.deaf_from = deaf_from
+        self.unanswered_from = unanswered_from
 
     async def call(self, path, *, wait_s=0.0, margin_s=1.5, is_fresh=False):
-        return await self.store.call(path, wait_s, margin_s, self.deaf_from)
+        return await self.store.call(path, wait_s, margin_s, self.unanswered_from)
 
 
 class Entry:
-    """Follow the store as an entry of a fleet, with links to all others."""
+    """Stand in for an entry that follows the store, with links to others."""
 
-    def __init__(self, number, store, *, deaf_from=float("inf")):
+    def __init__(self, number, store, *, unanswered_from=float("inf")):
         self.entry_id = EntryId(f"e{number}")
         self.known_at_by_revision = {}
         self.peers_by_id = {}
@@ -125,7 +126,7 @@
         )
         random = Random(number)
         factory = FollowerFactory(
-            client=Client(store, deaf_from),
+            client=Client(store, unanswered_from),
             random=random,
             bounds=lambda: BOUNDS,
             live_peers=lambda: 8,
@@ -148,17 +149,17 @@
         now = asyncio.get_running_loop().time()
         self.known_at_by_revision.setdefault(revision, now)
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while True:
-            told = self.relays.confirmations()
+            confirmed = self.relays.confirmations()
             for peer in self.peers_by_id.values():
-                if told is not None:
-                    peer.send(told)
+                if confirmed is not None:
+                    peer.send(confirmed)
             await asyncio.sleep(HEARTBEAT_S)
 
 
 class Link:
-    """Carry messages from one entry to another, late from a moment on."""
+    """Carry messages from one entry to another, late from `late_from` on."""
 
     def __init__(
         self, sender, receiver, *, late_from=float("inf"), version=PROTOCOL_PACKED
@@ -185,8 +186,8 @@
         handler(sender, message)
 
 
-class Played:
-    """Hold what a replay showed of the entry that rests."""
+class ReplayResult:
+    """Hold the result of a replay for the entry that rests."""
 
     def __init__(self, late_s, calls_of_followers, calls):
         self.late_s = late_s
@@ -194,17 +195,23 @@
         self.calls = calls
 
 
-def play(changed_at, failing, outage_s=0.0, version=PROTOCOL_PACKED):
-    """Return how late the entry that rests knew of the change."""
+def replay(changed_at, fault, outage_s=0.0, version=PROTOCOL_PACKED):
+    """Return how late the entry that rests knows of the change, and all calls."""
     found = []
 
     async def run():
         store = Store(changed_at, outage_s)
         resting_store = Store(changed_at, outage_s)
-        fails_at = changed_at - 0.1 if failing is not Failing.NOTHING else float("inf")
-        deaf_from = fails_at if failing is Failing.DEAF else float("inf")
-        late_from = fails_at if failing is Failing.LATE else float("inf")
-        entries = [Entry(n, store, deaf_from=deaf_from) for n in range(FOLLOWERS)]
+        fails_at = (
+            changed_at - 0.1 if fault is not FollowerFault.NOTHING else float("inf")
+        )
+        unanswered_from = (
+            fails_at if fault is FollowerFault.UNANSWERED else float("inf")
+        )
+        late_from = fails_at if fault is FollowerFault.LATE else float("inf")
+        entries = [
+            Entry(n, store, unanswered_from=unanswered_from) for n in range(FOLLOWERS)
+        ]
         resting = Entry(FOLLOWERS, resting_store)
         for entry in entries:
             entry.peers_by_id[resting.entry_id] = Link(
@@ -213,10 +220,10 @@
         running = [
             asyncio.ensure_future(work)
             for entry in entries
-            for work in (entry.follower.run(), entry.beat())
+            for work in (entry.follower.run(), entry.send_heartbeats())
         ]
         resting_work = asyncio.ensure_future(resting.follower.run())
-        if failing is Failing.GONE:
+        if fault is FollowerFault.STOPPED:
             await asyncio.sleep(fails_at)
             for work in running:
                 work.cancel()
@@ -226,41 +233,45 @@
         for work in [*running, resting_work]:
             work.cancel()
         known_at = resting.known_at_by_revision.get(6, float("inf"))
-        found.append(Played(known_at - changed_at, store.calls, resting_store.calls))
+        found.append(
+            ReplayResult(known_at - changed_at, store.calls, resting_store.calls)
+        )
 
     run_simulated(run())
     return found[0]
 
 
-@pytest.mark.parametrize("failing", Failing)
-def test_a_change_is_known_within_the_bound_whatever_the_followers_suffer(failing):
-    late = {at: play(at, failing).late_s for at in CHANGED_AT_S}
+@pytest.mark.parametrize("fault", FollowerFault)
+def test_a_change_is_known_within_the_bound_whatever_the_followers_suffer(fault):
+    late = {at: replay(at, fault).late_s for at in CHANGED_AT_S}
     assert {at: s for at, s in late.items() if s > BOUNDS.drain_s} == {}
 
 
-@pytest.mark.parametrize("failing", [Failing.NOTHING, Failing.GONE])
+@pytest.mark.parametrize("fault", [FollowerFault.NOTHING, FollowerFault.STOPPED])
 @pytest.mark.parametrize("outage_s", [2.0, 8.0])
-def test_after_an_outage_a_change_is_known_in_time(failing, outage_s):
-    late = {at: play(at, failing, outage_s).late_s for at in CHANGED_AT_S}
+def test_after_an_outage_a_change_is_known_in_time(fault, outage_s):
+    late = {at: replay(at, fault, outage_s).late_s for at in CHANGED_AT_S}
     assert {at: s for at, s in late.items() if s > BOUNDS.resync_s} == {}
 
 
 def test_in_an_outage_an_entry_that_rests_calls_seldom():
-    played = play(changed_at=20.0, failing=Failing.NOTHING, outage_s=8.0)
-    assert played.calls <= 12
+    replayed = replay(changed_at=20.0, fault=FollowerFault.NOTHING, outage_s=8.0)
+    assert replayed.calls <= 12
 
 
 def test_an_entry_that_hears_from_followers_asks_the_store_only_at_its_start():
-    played = play(changed_at=20.0, failing=Failing.NOTHING)
-    # A listing that may be old, and what is missing of it.
-    assert played.calls == 2
-    assert played.late_s < 0.1
+    replayed = replay(changed_at=20.0, fault=FollowerFault.NOTHING)
+    # A listing that may be old, and the changes since then.
+    assert replayed.calls == 2
+    assert replayed.late_s < 0.1
 
 
 def test_entries_that_do_not_pack_hear_of_changes_too():
-    played = play(changed_at=20.0, failing=Failing.NOTHING, version=PROTOCOL_FLEET)
-    assert played.calls == 2
-    assert played.late_s < 0.1
+    replayed = replay(
+        changed_at=20.0, fault=FollowerFault.NOTHING, version=PROTOCOL_FLEET
+    )
+    assert replayed.calls == 2
+    assert replayed.late_s < 0.1
 
 
 def test_a_thousand_endpoints_that_start_are_told_in_few_bytes():
@@ -296,22 +307,22 @@
     learned = []
 
     async def run():
-        teller, hearer = Entry(0, Store(1_000.0)), Entry(FOLLOWERS, Store(1_000.0))
-        hearer.on_event = lambda event: learned.append(event.item)
-        assert await hearer.follower._list()
-        teller.peers_by_id[EntryId("e9")] = peer
+        relaying, receiving = Entry(0, Store(1_000.0)), Entry(FOLLOWERS, Store(1_000.0))
+        receiving.on_event = lambda event: learned.append(event.item)
+        assert await receiving.follower._list()
+        relaying.peers_by_id[EntryId("e9")] = peer
         events = [ObjectEvent(item, False, 1_000) for item in items]
-        teller.relays.tell(
+        relaying.relays.tell(
             KIND, StorePosition(FIRST_EPOCH, 5), ObjectEvents(events, 1_000)
         )
         sender = SimpleNamespace(
             info=SimpleNamespace(peer_id="e0", protocol_version=PROTOCOL_PACKED)
         )
-        hearer.relays.handlers()[PackedChanges](sender, sent[0])
+        receiving.relays.handlers()[PackedChanges](sender, sent[0])
 
     run_simulated(run())
     assert learned == items
-    # 254 kB as the store writes them.
+    # They are 254 kB in the encoding of the store.
     assert len(sent[0].changes) < 40_000
 
 
@@ -361,12 +372,12 @@
 
 def test_changes_of_other_kinds_make_nobody_ask():
     class Busy(Store):
-        """Change other kinds all the time: the revision rises without an event."""
+        """Change other kinds constantly: the revision rises without an event."""
 
         def revision(self, now):
             return super().revision(now) + int(now * 10.0)
 
-        async def call(self, path, wait_s, margin_s, deaf_from):
+        async def call(self, path, wait_s, margin_s, unanswered_from):
             loop = asyncio.get_running_loop()
             self.calls += 1
             await asyncio.sleep(wait_s + ANSWER_S)
@@ -383,7 +394,7 @@
             asyncio.ensure_future(work)
             for work in (
                 follower.follower.run(),
-                follower.beat(),
+                follower.send_heartbeats(),
                 resting.follower.run(),
             )
         ]
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_store_histories.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_store_histories.py
@@ -1,7 +1,7 @@
-"""Whatever the store goes through, entries know in time what it holds.
+"""Entries know in time what the store holds, whatever happens to it.
 
-Draws what the operator's platform does to the store and to the entries that follow it,
-on a simulated clock; steps that fail are shrunk to a few.
+Draws random faults and changes of the store and of the entries that follow it, on a
+simulated clock; failing sequences of steps are shrunk.
 """
 
 import asyncio
@@ -12,18 +12,18 @@
 from leadford_standins.simulated import run_simulated
 from leadford_standins.wire import SimulatedFleet, StoreFault
 
-# Seconds after the last step by which entries know what the store holds: the time to
-# catch up, and that in which a change has to be known.
+# Time after the last step by which entries know what the store holds: the time to catch
+# up, and the time within which a change has to be known.
 BOUND_S = 7.0
-# Seconds after which a record is surely no remainder of a copy.
+# Time after which no record can be left over from a copy.
 LAPSE_S = 5.0
-# Copies, newest first, that the store may come back from.
+# Number of copies, newest first, from which the store can be restored.
 COPIES = 5
 SERVICE = "s"
 
 
 class Step(Enum):
-    """Name what may happen."""
+    """Name the steps of a scenario."""
 
     JOIN = "an endpoint joins"
     LEAVE = "an endpoint says that it leaves"
@@ -38,8 +38,8 @@
     HEAL = "it is not any more"
 
 
-class Play:
-    """Carry steps out, and remember what was said."""
+class Scenario:
+    """Carry out steps, and record which endpoints were said to leave."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -54,7 +54,7 @@
         self.fleet.put(f"n{self.joined}")
         self.joined += 1
 
-    async def take(self, step, number, seconds):
+    async def apply(self, step, number, seconds):
         fleet = self.fleet
         listed = self.listed()
         name = listed[number % len(listed)] if listed else None
@@ -89,14 +89,14 @@
         await asyncio.sleep(seconds / 2.0)
         before = store.restore(held)
         store.fault = StoreFault.NONE
-        # Copies of a history that is over are made no more.
+        # Copies from a history that has ended are not used again.
         self.copies = [held]
         await asyncio.sleep(seconds / 4.0)
         if not is_lost:
             store.write_again(before, held, ["servers"])
 
     def faults(self, now):
-        """Return what entries believe wrongly, with what the store holds."""
+        """Return where the state of entries differs from what the store holds."""
         objects = self.fleet.store.objects_by_kind_.get("servers", {})
         draining = {n for n, o in objects.items() if o["spec"]["state"] == "draining"}
         ready = set(objects) - self.left - draining
@@ -113,23 +113,23 @@
         return found
 
 
-def play(steps, *, followers=3, resting=2, seed=1):
-    """Return what entries believe wrongly once the store has been left alone."""
+def run_steps(steps, *, followers=3, resting=2, seed=1):
+    """Return the differences that remain after the steps and a quiet period."""
 
     async def run():
         fleet = SimulatedFleet(followers=followers, resting=resting, seed=seed)
-        game = Play(fleet)
+        scenario = Scenario(fleet)
         for _ in range(3):
-            game.join()
+            scenario.join()
         fleet.start()
         await asyncio.sleep(5.0)
         for step, number, seconds in steps:
-            await game.take(step, number, seconds)
+            await scenario.apply(step, number, seconds)
         for entry in fleet.entries:
             entry.is_cut_off_ = False
         await asyncio.sleep(BOUND_S)
         now = asyncio.get_running_loop().time()
-        found = game.faults(now + LAPSE_S)
+        found = scenario.faults(now + LAPSE_S)
         fleet.stop()
         return found
 
@@ -149,7 +149,7 @@
 @settings(max_examples=60, deadline=None)
 @given(STEPS, st.integers(1, 3), st.integers(0, 2), st.integers(1, 99))
 @example(
-    # A follower believed another one across a restoration.
+    # A follower must not trust another one across a restoration.
     [
         (Step.OTHER, 0, 0.3),
         (Step.OTHER, 0, 1.0),
@@ -163,5 +163,5 @@
     1,
 )
 def test_entries_know_what_the_store_holds(steps, followers, resting, seed):
-    found = play(steps, followers=followers, resting=resting, seed=seed)
+    found = run_steps(steps, followers=followers, resting=resting, seed=seed)
     assert found == []
