--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -294,7 +294,7 @@
     def _on_evacuations(self, peer: PeerConnection, message: EvacuationReport) -> None:
         version = peer.info.protocol_version
         self.halls.learn(
-            message, peer.info.peer_id, tells_epochs=version >= PROTOCOL_EPOCHS
+            message, peer.info.peer_id, has_epochs=version >= PROTOCOL_EPOCHS
         )
 
     def _on_backlog(self, peer: PeerConnection, message: FleetBacklog) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
@@ -106,12 +106,12 @@
         if self._is_past_epoch(answer):
             STORE_CALLS_TOTAL.labels(kind=kind, end="past").inc()
             return Failure(StoreFailure.PAST_EPOCH)
-        good = 200 <= status < 300
-        end = "ok" if good else str(status)
+        is_success = 200 <= status < 300
+        end = "ok" if is_success else str(status)
         STORE_CALLS_TOTAL.labels(kind=kind, end=end).inc()
         STORE_BYTES_TOTAL.labels(end=end).inc(len(answer.body))
-        if good:
-            self._record(True, status)
+        if is_success:
+            self._record_availability(True, status)
             return Success(StoreAnswer(answer.body, self.epochs.current_))
         if status == NO_ANSWER:
             # The rate of calls bounds the number of these log lines.
@@ -121,10 +121,10 @@
                 waited_ms=round(answer.took_s * 1_000.0),
                 bytes=len(answer.body),
             )
-            self._record(False, status)
+            self._record_availability(False, status)
             return Failure(StoreFailure.NO_ANSWER)
         failure = self.codec.read_failure(status)
-        self._record(failure is not StoreFailure.UNAVAILABLE, status)
+        self._record_availability(failure is not StoreFailure.UNAVAILABLE, status)
         return Failure(failure)
 
     def _is_past_epoch(self, answer: Transferred) -> bool:
@@ -138,7 +138,7 @@
             )
         return age is AnswerAge.PAST
 
-    def _record(self, answered: bool, status: int) -> None:
+    def _record_availability(self, answered: bool, status: int) -> None:
         """Log when the store stops or starts to answer, and for how long it did not."""
         now = asyncio.get_running_loop().time()
         last_at = self.answered_at_
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
@@ -110,7 +110,7 @@
         self.changed_position_ = START
         self.confirmed_at_: float | None = None
         self.is_unanswered_ = False
-        self.lists_fresh_ = False
+        self.needs_fresh_listing_ = False
         self.may_be_old_ = False
         self.poll_requested_ = asyncio.Event()
         client.epochs.listeners_.append(self._on_epoch)
@@ -122,8 +122,8 @@
         while True:
             await self._rest()
             began_at = now()
-            good = await self._list() if self._must_list() else await self._watch()
-            if good:
+            succeeded = await self._list() if self._must_list() else await self._watch()
+            if succeeded:
                 wait_s = RETRY_MIN_S
                 continue
             # Time spent on the failed call counts towards the pause: a store that is
@@ -204,7 +204,7 @@
             for event in seen.events:
                 self.owner.on_event(event)
             self.changed_position_ = seen.position
-            self._record(seen.position, confirmed_at)
+            self._record_confirmation(seen.position, confirmed_at)
             self.on_relayed(confirmed_at)
         return True
 
@@ -214,18 +214,18 @@
             return
         if self.confirmed_at_ is not None and confirmed_at <= self.confirmed_at_:
             return
-        self._record(max(self.position_, position), confirmed_at)
+        self._record_confirmation(max(self.position_, position), confirmed_at)
         self.on_relayed(confirmed_at)
 
     async def _list(self) -> bool:
         # The first listing may be seconds old: such a listing costs a tenth, and the
         # call for changes that follows at once returns what is missing.
-        may_be_old = not self.lists_fresh_
+        may_be_old = not self.needs_fresh_listing_
         listing = await self._read_pages(may_be_old=may_be_old)
         if listing is None:
             return False
         position = listing.position
-        self.lists_fresh_ = True
+        self.needs_fresh_listing_ = True
         self.client.log.report(
             Event.STORE_LISTED,
             kind=self.kind,
@@ -257,7 +257,7 @@
             if isinstance(read, Failure):
                 if read.failure() is StoreFailure.PAST_EPOCH:
                     # A listing that may be old can predate the restoration for seconds.
-                    self.lists_fresh_ = True
+                    self.needs_fresh_listing_ = True
                 return None
             answer = read.unwrap()
             # The pause after a failure bounds the log lines about unreadable pages.
@@ -281,9 +281,9 @@
         began_at = asyncio.get_running_loop().time()
         asked_from = self.position_
         read = await self._call_watch()
-        is_gone = read == Failure(StoreFailure.HISTORY_GONE)
+        is_history_gone = read == Failure(StoreFailure.HISTORY_GONE)
         self.is_unanswered_ = read == Failure(StoreFailure.NO_ANSWER)
-        if is_gone:
+        if is_history_gone:
             self.position_ = None
             return True
         if isinstance(read, Failure):
@@ -339,10 +339,12 @@
 
     def _confirm(self, position: StorePosition) -> None:
         """Record that the store has just confirmed that no change is missing."""
-        self._record(position, asyncio.get_running_loop().time())
+        self._record_confirmation(position, asyncio.get_running_loop().time())
         self.owner.on_confirmed()
 
-    def _record(self, position: StorePosition, confirmed_at: float) -> None:
+    def _record_confirmation(
+        self, position: StorePosition, confirmed_at: float
+    ) -> None:
         """Record the time at which no change was missing up to a position."""
         if self.confirmed_at_ is not None:
             gap_s = max(0.0, confirmed_at - self.confirmed_at_)
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
@@ -76,7 +76,7 @@
         )
 
     def learn(
-        self, report: EvacuationReport, source: str, *, tells_epochs: bool = True
+        self, report: EvacuationReport, source: str, *, has_epochs: bool = True
     ) -> None:
         """Record the evacuations that a peer reports; `source` is its name."""
         halls = self.state.roster_.halls_
@@ -85,7 +85,7 @@
         changed = []
         for told in report.halls:
             epoch = StoreEpoch(told.epoch)
-            if not tells_epochs:
+            if not has_epochs:
                 epoch = self.state.epochs_.of_untold()
             notice = HallNotice(
                 HallId(told.hall), told.revision, told.is_evacuated, epoch
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
@@ -132,11 +132,11 @@
     )
 
     async def lose_and_return():
-        client._record(True, 200)
+        client._record_availability(True, 200)
         await asyncio.sleep(2.0)
-        client._record(False, 599)
+        client._record_availability(False, 599)
         await asyncio.sleep(4.5)
-        client._record(True, 200)
+        client._record_availability(True, 200)
 
     run_simulated(lose_and_return())
     assert [line["unanswered_ms"] for line in lines] == [2_000, 6_500]
