--- a/packages/leadford-server/src/leadford_server/forwarding/_progress.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_progress.py
@@ -48,7 +48,7 @@
         self.digest_ = NO_DIGEST
         self.deadline_ = 0.0
         self.expected_s_ = 0.0
-        self.first_try_s_ = 0.0
+        self.since_first_try_s_ = 0.0
         self.is_late_ = False
         self.input_remakes_ = 0
         self.may_have_run_ = False
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
@@ -62,7 +62,9 @@
         self.attempts.record_first_token(engine_s)
         if progress.expected_s_ > 0.0 and not progress.is_late_:
             actual_s = progress.first_byte_at_ - progress.request.received_at
-            self.admission.record_answered(match.route, progress.expected_s_, actual_s)
+            self.admission.record_response_time(
+                match.route, progress.expected_s_, actual_s
+            )
         progress.model_version_ = head.model_version
         self.exchange.begin(head.status, head.headers, head.reason)
         self.inputs.release()
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
@@ -193,7 +193,7 @@
         route = match.route
         now = self.state.now()
         counts = request.piece_counts or ()
-        asked_ms = request.deadline_ms
+        caller_timeout_ms = request.deadline_ms
         if len(counts) != len(route.stages):
             self.answer.end(
                 EndReason.MALFORMED, "counts of pieces do not fit the stages"
@@ -206,24 +206,28 @@
                 self.inputs.capacities(match),
                 priority=match.priority,
                 fingerprint=request.fingerprint,
-                engine_s=self.state.first_byte_.expected_s(match.service.service_id),
+                first_byte_s=self.state.first_byte_.expected_s(
+                    match.service.service_id
+                ),
                 elapsed_s=now - request.received_at,
-                allowed_s=progress.deadline_ - request.received_at,
+                timeout_s=progress.deadline_ - request.received_at,
                 now=now,
-                asked_s=None if asked_ms is None else asked_ms / 1_000.0,
-                held_s=self.state.service_hold_s(match.service.service_id),
+                caller_timeout_s=None
+                if caller_timeout_ms is None
+                else caller_timeout_ms / 1_000.0,
+                endpoint_wait_s=self.state.service_hold_s(match.service.service_id),
             )
         )
-        if decision.is_return:
-            known_by = "refusal" if decision.is_heard else "announced wait"
+        if decision.is_caller_retry:
+            known_by = "refusal" if decision.is_refusal_known else "announced wait"
             RETURNS_TOTAL.labels(known_by=known_by).inc()
         progress.expected_s_ = decision.expected_s
-        progress.first_try_s_ = decision.first_try_s
+        progress.since_first_try_s_ = decision.since_first_try_s
         progress.is_late_ = decision.is_late
         if decision.verdict is Verdict.ADMIT:
             return True
         detail = f"expected in {decision.expected_s:.2f} s"
-        if decision.is_return:
+        if decision.is_caller_retry:
             detail += ", returned"
         self.answer.end(EndReason.NOT_ADMITTED, detail, decision.retry_after_s)
         return False
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_inputs.py
@@ -72,7 +72,9 @@
             delay_s=queue_delay_s(route, match.priority),
             deadline=progress.deadline_,
             # The aim counts from the caller's first try.
-            due_at=request.received_at - progress.first_try_s_ + route.aim_ms / 1_000.0,
+            due_at=request.received_at
+            - progress.since_first_try_s_
+            + route.aim_ms / 1_000.0,
             is_late=progress.is_late_,
             hall=self._planned_hall(match),
             done=self.state.loop.create_future(),
--- a/packages/leadford/src/leadford/forwarding/admission/_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_decision.py
@@ -89,10 +89,11 @@
     priority of the workspace if it has one. A request that is sent again has the same
     `fingerprint`.
 
-    Units: seconds. engine_s is the time of the service to the first byte; held_s is the
-    time until one of its endpoints accepts another request; elapsed_s and allowed_s
-    count from when the caller sent the request; asked_s is the time that the caller
-    itself allows, None if it states none; now is a time of the monotonic clock.
+    Units: seconds. first_byte_s is the time of the service to the first byte;
+    endpoint_wait_s is the time until one of its endpoints accepts another request;
+    elapsed_s and timeout_s count from when the caller sent the request;
+    caller_timeout_s is the time that the caller itself allows, None if it states none;
+    now is a time of the monotonic clock.
     """
 
     route: Route
@@ -100,39 +101,39 @@
     capacity_by_service: dict[ServiceId, StageCapacity]
     priority: int
     fingerprint: str
-    engine_s: float
+    first_byte_s: float
     elapsed_s: float
-    allowed_s: float
+    timeout_s: float
     now: float
-    asked_s: float | None = None
-    held_s: float = 0.0
+    caller_timeout_s: float | None = None
+    endpoint_wait_s: float = 0.0
 
     @property
     def aim_s(self) -> float:
         """Return the latency target of the route, or the allowed time without one."""
         aim_ms = self.route.aim_ms
-        return aim_ms / 1_000.0 if aim_ms > 0 else self.allowed_s
+        return aim_ms / 1_000.0 if aim_ms > 0 else self.timeout_s
 
 
 class AdmissionDecision(msgspec.Struct, frozen=True):
     """Hold a verdict, the expected response time and the retry delay.
 
-    `is_return` is true for a retry of a recently refused request, `is_late` for one
-    that can no longer meet its target, counted from its first try. `is_heard` is true
-    if the refusal is recorded here, not only inferred from the timeout that the caller
-    states.
+    `is_caller_retry` is true for a retry of a recently refused request, `is_late` for
+    one that can no longer meet its target, counted from its first try.
+    `is_refusal_known` is true if the refusal is recorded here, not only inferred from
+    the timeout that the caller states.
 
-    Units: seconds; expected_s counts from when the caller sent the request, first_try_s
-    is the time between the first try and this one.
+    Units: seconds; expected_s counts from when the caller sent the request,
+    since_first_try_s is the time between the first try and this one.
     """
 
     verdict: Verdict
     expected_s: float
     retry_after_s: float = 0.0
-    is_return: bool = False
-    first_try_s: float = 0.0
+    is_caller_retry: bool = False
+    since_first_try_s: float = 0.0
     is_late: bool = False
-    is_heard: bool = False
+    is_refusal_known: bool = False
 
 
 class ForwardAdmission:
@@ -154,31 +155,31 @@
 
     def decide(self, request: AdmissionRequest) -> AdmissionDecision:
         """Return the verdict, and record a refused request as a reservation."""
-        refused = self.reservations.refused(request.fingerprint, request.now)
+        refused = self.reservations.find(request.fingerprint, request.now)
         inferred_s = self._inferred_first_try_s(request)
-        is_return = refused is not None or inferred_s is not None
-        first_try_s = self._first_try_s(request, refused)
+        is_caller_retry = refused is not None or inferred_s is not None
+        since_first_try_s = self._first_try_s(request, refused)
         if inferred_s is not None:
-            first_try_s = inferred_s
+            since_first_try_s = inferred_s
         forecast = StageForecast(
             route=request.route,
             counts=request.counts,
             capacity_by_service=request.capacity_by_service,
         )
         critical_path_s = forecast.critical_path_s()
-        min_answer_s = request.elapsed_s + critical_path_s + request.engine_s
-        is_late = is_return and first_try_s + min_answer_s > request.aim_s
+        min_answer_s = request.elapsed_s + critical_path_s + request.first_byte_s
+        is_late = is_caller_retry and since_first_try_s + min_answer_s > request.aim_s
         queue_delay_s = forecast.delay_s(self.backlog, request.now, is_late=is_late)
-        queue_delay_s = max(queue_delay_s, request.held_s - critical_path_s)
+        queue_delay_s = max(queue_delay_s, request.endpoint_wait_s - critical_path_s)
         error_s = self._forecast_error(request.route).value_
         expected_s = min_answer_s + queue_delay_s + error_s
-        if expected_s <= _limit_s(request, critical_path_s, is_return, is_late):
+        if expected_s <= _limit_s(request, critical_path_s, is_caller_retry, is_late):
             return AdmissionDecision(
                 Verdict.ADMIT,
                 expected_s,
                 0.0,
-                is_return,
-                first_try_s,
+                is_caller_retry,
+                since_first_try_s,
                 is_late,
                 refused is not None,
             )
@@ -195,8 +196,8 @@
             Verdict.REFUSE,
             expected_s,
             wait_s,
-            is_return,
-            is_heard=refused is not None,
+            is_caller_retry,
+            is_refusal_known=refused is not None,
         )
 
     def _inferred_first_try_s(self, request: AdmissionRequest) -> float | None:
@@ -204,31 +205,35 @@
 
         None for a first try, and if the callers of the route have no common timeout.
         """
-        if request.asked_s is None:
+        if request.caller_timeout_s is None:
             return None
         route_id = request.route.route_id
-        self.common_timeouts_.record(route_id, request.asked_s)
-        return self.common_timeouts_.since_first_try_s(route_id, request.asked_s)
+        self.common_timeouts_.record(route_id, request.caller_timeout_s)
+        return self.common_timeouts_.since_first_try_s(
+            route_id, request.caller_timeout_s
+        )
 
     def _first_try_s(
         self, request: AdmissionRequest, refused: RetryReservation | None
     ) -> float:
         """Return the time since the first try of a retry, 0 where it is unknown."""
-        if request.asked_s is None:
+        if request.caller_timeout_s is None:
             return 0.0
         route_id = request.route.route_id
-        self.first_tries_.record(route_id, request.asked_s)
+        self.first_tries_.record(route_id, request.caller_timeout_s)
         if refused is None:
             return 0.0
         since_first_try_s = self.first_tries_.since_first_try_s(
-            route_id, request.asked_s
+            route_id, request.caller_timeout_s
         )
         # Callers of one route may state different timeouts.
         return min(
             since_first_try_s, request.now - refused.known_at + REFUSAL_NEWS_DELAY_S
         )
 
-    def record_answered(self, route: Route, expected_s: float, actual_s: float) -> None:
+    def record_response_time(
+        self, route: Route, expected_s: float, actual_s: float
+    ) -> None:
         """Update the forecast error of a route from an actual response time."""
         known = self._forecast_error(route)
         error_s = actual_s - (expected_s - known.value_)
@@ -254,11 +259,11 @@
         A request that cannot meet its target whenever it is retried gets the longest
         delay, which leaves the most time to process the backlog.
         """
-        remaining_s = request.allowed_s - request.elapsed_s
+        remaining_s = request.timeout_s - request.elapsed_s
         max_retry_after_s = max(
             MIN_RETRY_AFTER_S, remaining_s / MAX_RETRY_AFTER_DIVISOR
         )
-        slack_s = request.aim_s - critical_path_s - request.engine_s
+        slack_s = request.aim_s - critical_path_s - request.first_byte_s
         wait_s = queue_delay_s - RETRY_SLACK_FRACTION * slack_s
         if wait_s > slack_s:
             return max_retry_after_s
@@ -269,14 +274,17 @@
 
 
 def _limit_s(
-    request: AdmissionRequest, critical_path_s: float, is_return: bool, is_late: bool
+    request: AdmissionRequest,
+    critical_path_s: float,
+    is_caller_retry: bool,
+    is_late: bool,
 ) -> float:
     """Return the longest expected response time with which a request is admitted."""
     if is_late:
         return _slack_limit_s(request, critical_path_s, SLACK_FRACTION_LATE)
-    if is_return:
+    if is_caller_retry:
         return min(
-            DEADLINE_FRACTION * request.allowed_s, RETRY_AIM_FRACTION * request.aim_s
+            DEADLINE_FRACTION * request.timeout_s, RETRY_AIM_FRACTION * request.aim_s
         )
     if not request.route.is_urgent:
         return _slack_limit_s(request, critical_path_s, SLACK_FRACTION_LESS_URGENT)
@@ -293,6 +301,6 @@
 
     The slack is the rest of the target after the minimum response time.
     """
-    min_answer_s = request.elapsed_s + critical_path_s + request.engine_s
+    min_answer_s = request.elapsed_s + critical_path_s + request.first_byte_s
     limit_s = min_answer_s + fraction * max(0.0, request.aim_s - min_answer_s)
-    return min(limit_s, DEADLINE_FRACTION * request.allowed_s)
+    return min(limit_s, DEADLINE_FRACTION * request.timeout_s)
--- a/packages/leadford/src/leadford/forwarding/admission/_reservations.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_reservations.py
@@ -61,7 +61,7 @@
         self.unsent_ = []
         return unsent
 
-    def refused(self, fingerprint: str, now: float) -> RetryReservation | None:
+    def find(self, fingerprint: str, now: float) -> RetryReservation | None:
         """Return the reservation of a recently refused request, if there is one."""
         reservation = self.by_fingerprint_.get(fingerprint)
         if reservation is None or now - reservation.return_at >= RETRY_GRACE_S:
--- a/packages/leadford/src/leadford/forwarding/admission/tests/conftest.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/conftest.py
@@ -46,9 +46,9 @@
     defaults = {
         "priority": 0,
         "fingerprint": "f",
-        "engine_s": 0.1,
+        "first_byte_s": 0.1,
         "elapsed_s": 0.0,
-        "allowed_s": route.timeout_ms / 1_000.0,
+        "timeout_s": route.timeout_ms / 1_000.0,
         "now": 0.0,
     }
     return AdmissionRequest(
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_chain_of_stages.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_chain_of_stages.py
@@ -74,7 +74,7 @@
                 capacities,
                 priority=1,
                 fingerprint=f"{number}",
-                engine_s=ENGINE_S,
+                first_byte_s=ENGINE_S,
                 now=now,
             )
         )
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_decision.py
@@ -45,8 +45,8 @@
         elapsed_s=0.0,
         priority=0,
         route=ROUTE,
-        asked_s=None,
-        held_s=0.0,
+        caller_timeout_s=None,
+        endpoint_wait_s=0.0,
     ):
         return self.admission.decide(
             request_for(
@@ -56,10 +56,10 @@
                 priority=priority,
                 fingerprint=fingerprint,
                 elapsed_s=elapsed_s,
-                allowed_s=8.0,
+                timeout_s=8.0,
                 now=now,
-                asked_s=asked_s,
-                held_s=held_s,
+                caller_timeout_s=caller_timeout_s,
+                endpoint_wait_s=endpoint_wait_s,
             )
         )
 
@@ -150,36 +150,44 @@
 def test_a_return_is_late_by_the_time_since_its_first_try():
     fixture = Fixture()
     fixture.admit_pieces(52)
-    assert fixture.decide(asked_s=8.0).verdict is Verdict.REFUSE
+    assert fixture.decide(caller_timeout_s=8.0).verdict is Verdict.REFUSE
     fixture.admit_pieces(-52)
-    soon = fixture.decide(now=0.3, asked_s=7.7)
+    soon = fixture.decide(now=0.3, caller_timeout_s=7.7)
     assert (soon.verdict, soon.is_late) == (Verdict.ADMIT, False)
-    assert soon.first_try_s == pytest.approx(0.3)
-    later = fixture.decide(now=1.8, asked_s=6.2)
+    assert soon.since_first_try_s == pytest.approx(0.3)
+    later = fixture.decide(now=1.8, caller_timeout_s=6.2)
     assert (later.verdict, later.is_late) == (Verdict.ADMIT, True)
     # A first try with a shorter timeout than others is no retry.
-    first_try = fixture.decide(fingerprint="new", now=1.8, asked_s=6.2)
-    assert (first_try.first_try_s, first_try.is_late) == (0.0, False)
+    first_try = fixture.decide(fingerprint="new", now=1.8, caller_timeout_s=6.2)
+    assert (first_try.since_first_try_s, first_try.is_late) == (0.0, False)
 
 
 def test_a_caller_that_waits_longer_than_others_makes_no_return_late():
     fixture = Fixture()
-    assert fixture.decide(fingerprint="patient", asked_s=60.0).first_try_s == 0.0
+    assert (
+        fixture.decide(fingerprint="patient", caller_timeout_s=60.0).since_first_try_s
+        == 0.0
+    )
     fixture.admit_pieces(52)
-    assert fixture.decide(asked_s=8.0).verdict is Verdict.REFUSE
+    assert fixture.decide(caller_timeout_s=8.0).verdict is Verdict.REFUSE
     fixture.admit_pieces(-52)
-    soon = fixture.decide(now=0.3, asked_s=7.7)
+    soon = fixture.decide(now=0.3, caller_timeout_s=7.7)
     assert (soon.verdict, soon.is_late) == (Verdict.ADMIT, False)
-    assert soon.first_try_s == pytest.approx(0.3 + 0.5)
+    assert soon.since_first_try_s == pytest.approx(0.3 + 0.5)
 
 
 def test_a_request_that_was_refused_twice_is_known_from_the_first_time():
     fixture = Fixture()
     fixture.admit_pieces(1_000)
-    for now, asked_s in ((0.0, 8.0), (2.0, 6.0)):
-        assert fixture.decide(now=now, asked_s=asked_s).verdict is Verdict.REFUSE
+    for now, caller_timeout_s in ((0.0, 8.0), (2.0, 6.0)):
+        assert (
+            fixture.decide(now=now, caller_timeout_s=caller_timeout_s).verdict
+            is Verdict.REFUSE
+        )
     fixture.admit_pieces(-1_000)
-    assert fixture.decide(now=3.0, asked_s=5.0).first_try_s == pytest.approx(3.0)
+    assert fixture.decide(
+        now=3.0, caller_timeout_s=5.0
+    ).since_first_try_s == pytest.approx(3.0)
 
 
 def test_a_late_return_is_let_in_only_while_the_queues_are_short():
@@ -187,9 +195,9 @@
     for pieces in (5, 40):
         fixture = Fixture()
         fixture.admit_pieces(52)
-        assert fixture.decide(asked_s=8.0).verdict is Verdict.REFUSE
+        assert fixture.decide(caller_timeout_s=8.0).verdict is Verdict.REFUSE
         fixture.admit_pieces(pieces - 52)
-        verdicts.append(fixture.decide(now=1.9, asked_s=6.1).verdict)
+        verdicts.append(fixture.decide(now=1.9, caller_timeout_s=6.1).verdict)
     assert verdicts == [Verdict.ADMIT, Verdict.REFUSE]
 
 
@@ -210,13 +218,13 @@
 def test_the_forecast_error_is_learned_and_bounded():
     fixture = Fixture()
     for _ in range(50):
-        fixture.admission.record_answered(ROUTE, 0.5, 60.0)
+        fixture.admission.record_response_time(ROUTE, 0.5, 60.0)
     assert fixture.decide().expected_s <= 0.34 + 0.6 * 2.0 + 0.01
 
 
 def test_a_service_that_takes_nothing_for_long_is_waited_for_by_callers():
     fixture = Fixture()
-    assert fixture.decide(held_s=0.05).verdict is Verdict.ADMIT
-    held = fixture.decide(fingerprint="g", held_s=6.0)
+    assert fixture.decide(endpoint_wait_s=0.05).verdict is Verdict.ADMIT
+    held = fixture.decide(fingerprint="g", endpoint_wait_s=6.0)
     assert held.verdict is Verdict.REFUSE
     assert held.retry_after_s > 0.5
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_large_fleet.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_large_fleet.py
@@ -92,7 +92,7 @@
                 {SERVICE: StageCapacity(LIMITS, ENDPOINTS)},
                 priority=1,
                 fingerprint=f"{number} {now}",
-                engine_s=ENGINE_S,
+                first_byte_s=ENGINE_S,
                 now=now,
             )
         )
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_usual_wait.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_usual_wait.py
@@ -74,21 +74,21 @@
         backlog=AdmittedBacklog(), reservations=RetryReservations(), random=Random(1)
     )
 
-    def decide(asked_s):
+    def decide(caller_timeout_s):
         return admission.decide(
             request_for(
                 route,
                 (4,),
                 {SERVICE: StageCapacity(piece_limits(), 1)},
-                fingerprint=f"f{asked_s}",
-                allowed_s=asked_s,
-                asked_s=asked_s,
+                fingerprint=f"f{caller_timeout_s}",
+                timeout_s=caller_timeout_s,
+                caller_timeout_s=caller_timeout_s,
             )
         )
 
     for _ in range(10):
-        assert not decide(6.0).is_return
+        assert not decide(6.0).is_caller_retry
     retry = decide(5.0)
-    assert (retry.is_return, retry.is_late) == (True, False)
-    assert retry.first_try_s == pytest.approx(1.0)
+    assert (retry.is_caller_retry, retry.is_late) == (True, False)
+    assert retry.since_first_try_s == pytest.approx(1.0)
     assert decide(3.5).is_late
--- a/packages/leadford/src/leadford/forwarding/retries/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_limits.py
@@ -54,14 +54,16 @@
     endpoints_left: int
 
 
-def request_deadline(route: Route, asked_ms: float | None, received_at: float) -> float:
+def request_deadline(
+    route: Route, caller_timeout_ms: float | None, received_at: float
+) -> float:
     """Return the deadline of a request, by the timeouts of its route and its caller.
 
     Units: seconds of the monotonic clock.
     """
     allowed_ms = route.timeout_ms
-    if asked_ms is not None:
-        allowed_ms = min(allowed_ms, asked_ms)
+    if caller_timeout_ms is not None:
+        allowed_ms = min(allowed_ms, caller_timeout_ms)
     return received_at + allowed_ms / 1_000.0
 
 
