--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -135,12 +135,12 @@
         self.listing_ = ListingHolder(
             objects=self.objects,
             state=state,
-            on_change=self.stages_.scheduler_.wake,
+            on_change=self.stages_.scheduler_.dispatch_all,
         )
         self.halls_ = HallsHolder(
             objects=self.objects,
             state=state,
-            on_change=self.stages_.scheduler_.wake,
+            on_change=self.stages_.scheduler_.dispatch_all,
             tell=lambda report: self.links_.tell_all(report),
         )
         self.members_ = EntryMembers(
@@ -243,7 +243,7 @@
     def _on_config(self, config: ForwardConfig) -> None:
         """Apply a new configuration in force."""
         self.caller_server_.apply_limits(config.limits)
-        self.stages_.scheduler_.wake()
+        self.stages_.scheduler_.dispatch_all()
 
     def _on_members(self, entries_by_id: dict[EntryId, KnownEntry]) -> None:
         """Divide the bounds of the fleet among the entries that exist."""
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
@@ -239,7 +239,7 @@
             self.answer.end(EndReason.MALFORMED, opened.failure())
             return False
         try:
-            await self.inputs.make()
+            await self.inputs.wait_for_stages()
         except StageFailure as failure:
             if self.attempts.is_quarantined:
                 self.answer.end_quarantined()
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
@@ -82,7 +82,7 @@
             return True
         self.progress.input_remakes_ += 1
         self.progress.tried_.pop()
-        self.inputs.restart()
+        self.inputs.drop_final_inputs()
         return await self.make_inputs()
 
     async def _retry_elsewhere(self, detail: str) -> bool:
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
@@ -48,12 +48,12 @@
         limits: PieceLimits,
         *,
         excluded: frozenset[EndpointId],
-        near_bytes_by_hall: dict[HallId, int],
+        local_bytes_by_hall: dict[HallId, int],
         now: float,
     ) -> GroupId | None:
         """Return the group that should make pieces, if any endpoint is usable.
 
-        `near_bytes_by_hall` holds, for each hall, the bytes that need not move between
+        `local_bytes_by_hall` holds, for each hall, the bytes that need not move between
         halls if a piece is made there.
         """
         counts: dict[GroupId, int] = {}
@@ -63,14 +63,14 @@
                 continue
             group = self.state.groups_.group(stage.service_id, record.listed.hall)
             counts[group] = counts.get(group, 0) + 1
-            near_bytes = near_bytes_by_hall.get(record.listed.hall, 0)
+            near_bytes = local_bytes_by_hall.get(record.listed.hall, 0)
             near_bytes_by_group[group] = max(
                 near_bytes_by_group.get(group, 0), near_bytes
             )
         if not counts:
             counts = self.state.groups_.usable_by_group(stage.service_id, now)
         self._refresh_own_loads(counts)
-        max_near_bytes = max(near_bytes_by_hall.values(), default=0)
+        max_near_bytes = max(local_bytes_by_hall.values(), default=0)
         return self.loads_.choose(
             counts,
             limits,
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_inputs.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_inputs.py
@@ -13,10 +13,10 @@
 from leadford.forwarding.batching import (
     ENGINE_INPUTS_READ_S,
     PieceGraph,
-    engine_fetches_at_once,
+    can_stages_end_in_time,
+    engine_fetches_immediately,
     queue_delay_s,
     stages_check_at,
-    stages_end_in_time,
 )
 from leadford.forwarding.endpoints import EndpointRecord
 from leadford.forwarding.routes import ResultHandle, RouteMatch, ServiceId
@@ -96,7 +96,7 @@
         )
         return record.listed.hall if record is not None else state.hall
 
-    async def make(self) -> None:
+    async def wait_for_stages(self) -> None:
         """Wait for the stages, but give up early if they will not end in time.
 
         Errors: raises StageFailure.
@@ -106,7 +106,7 @@
         if not await self._complete_by(check_at):
             left_s = self.job_.deadline - self.state.now()
             needed_s = self.stages.groups.remaining_s(self.job_.graph)
-            if not stages_end_in_time(needed_s, left_s):
+            if not can_stages_end_in_time(needed_s, left_s):
                 raise StageFailure(f"need {needed_s:.2f} s of {left_s:.2f} s")
             await self.stages.complete(self.job_)
         if self.done_at_ is None:
@@ -138,7 +138,9 @@
 
     def release_soon(self, record: EndpointRecord) -> None:
         """Release the inputs once an engine without a queue has certainly read them."""
-        if self.job_ is None or not engine_fetches_at_once(record, self.state.now()):
+        if self.job_ is None or not engine_fetches_immediately(
+            record, self.state.now()
+        ):
             return
         self.state.loop.call_later(
             ENGINE_INPUTS_READ_S, self._release_unless_needed, self.attempts_begun_
@@ -157,9 +159,9 @@
         if self.job_ is not None:
             self.stages.release(self.job_)
 
-    def restart(self) -> None:
+    def drop_final_inputs(self) -> None:
         """Drop the inputs, because one of them no longer exists."""
-        self.stages.restart(self.job_)
+        self.stages.drop_final_inputs(self.job_)
 
     def close(self) -> None:
         """Cancel the waiting pieces and release every result."""
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
@@ -44,12 +44,12 @@
         room_bytes = self.capacities.room_bytes(records, service.pieces, now)
         return GroupLoad(wait_s, room_bytes - queue.waiting_bytes(), now)
 
-    def uses_left(
+    def uses_in_foreign_groups(
         self, scheduled_by_others: Callable[[GroupId], bool]
     ) -> list[CapacityUse]:
         """Return what this entry still uses in groups that others schedule now."""
         found = []
-        for use in self.capacities.uses(self.state.now()):
+        for use in self.capacities.occupied_capacity(self.state.now()):
             record = self.state.roster_.record(use.endpoint_id)
             if record is None:
                 continue
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_pieces.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_pieces.py
@@ -75,7 +75,7 @@
                 (task.due_at - now) * 1_000.0,
                 (task.rank_at - now) * 1_000.0,
                 list(task.excluded),
-                dict(task.near_bytes_by_hall),
+                dict(task.local_bytes_by_hall),
             )
         )
 
@@ -129,7 +129,7 @@
             rank_at=now + message.rank_ms / 1_000.0,
             queued_at=now,
             excluded=frozenset(EndpointId(text) for text in message.excluded),
-            near_bytes_by_hall={
+            local_bytes_by_hall={
                 HallId(hall): count for hall, count in message.near_bytes.items()
             },
             is_suspect=isinstance(message, SuspectPieceSubmit),
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
@@ -12,16 +12,16 @@
 from leadford.common import EndpointId, EntryId
 from leadford.forwarding.batching import (
     CALL_INPUTS_READ_S,
-    PAUSE_FULL_S,
-    PAUSE_ROOM_S,
+    NO_ROOM_PAUSE_S,
+    QUEUE_FULL_PAUSE_S,
     CapacityTable,
     FillAction,
     GroupId,
-    MadeRate,
     PieceFailure,
     PieceQueue,
     PieceTask,
     Throughput,
+    ThroughputRate,
     next_call,
 )
 from leadford.forwarding.endpoints import EndpointRecord
@@ -89,7 +89,7 @@
         """Return how many calls for pieces are under way."""
         return self.calls_under_way_
 
-    def made_rate(self, group: GroupId) -> MadeRate | None:
+    def sample_throughput(self, group: GroupId) -> ThroughputRate | None:
         """Sample the throughput of a group, and return it while the group is behind."""
         service = self.state.service(group.service_id)
         if service is None or service.pieces is None:
@@ -98,7 +98,7 @@
         throughput = self._throughput(group)
         throughput.sample(
             waiting=len(self.queues_by_group_.get(group, ())),
-            full_round=service.pieces.batch * len(self.loads.records(group)),
+            full_round_pieces=service.pieces.batch * len(self.loads.records(group)),
             now=now,
         )
         return throughput.rate(now)
@@ -115,12 +115,14 @@
         for queue in self.queues_by_group_.values():
             queue.discard(is_wanted)
 
-    def forget(self, origin: EntryId) -> None:
+    def drop_pieces_of(self, origin: EntryId) -> None:
         """Drop every waiting piece of an entry that is gone."""
         for queue in self.queues_by_group_.values():
             queue.discard(lambda task: task.origin != origin)
 
-    def give_back(self, is_scheduled_elsewhere: Callable[[GroupId], bool]) -> None:
+    def return_waiting_pieces(
+        self, is_scheduled_elsewhere: Callable[[GroupId], bool]
+    ) -> None:
         """Return waiting pieces of groups that another entry schedules now.
 
         Two queues for the same endpoints interfere: pieces that wait in one find the
@@ -136,7 +138,7 @@
         """Free results that have no readers left."""
         self.releaser.release(endpoint_id, handles)
 
-    def wake(self) -> None:
+    def dispatch_all(self) -> None:
         """Check again for calls to send after endpoints or configuration changed."""
         self.capacities_.retain(self.state.roster_.known_ids())
         for group in list(self.queues_by_group_):
@@ -276,7 +278,7 @@
         endpoint_id = call.record.listed.endpoint_id
         if detail == PieceFailure.FULL.value:
             capacity = self.capacities_.capacity(endpoint_id, call.limits)
-            capacity.pause(PAUSE_FULL_S, self.state.now())
+            capacity.pause(QUEUE_FULL_PAUSE_S, self.state.now())
             for task in call.tasks:
                 self._queue_again(call, task, detail)
             return
@@ -297,10 +299,10 @@
             PIECES_TOTAL.labels(end=outcome.reason or PIECE_DONE).inc()
             if outcome.reason == no_room:
                 # Results unknown to this process take room at the endpoint.
-                capacity.pause(PAUSE_ROOM_S, now)
+                capacity.pause(NO_ROOM_PAUSE_S, now)
                 self._queue_again(call, task, no_room)
                 continue
             if outcome.handle is not None:
                 capacity.hold(outcome.handle, task.result_bytes, now)
-                self._throughput(call.group).record_made(is_urgent=task.is_urgent)
+                self._throughput(call.group).record_computed(is_urgent=task.is_urgent)
             self.reply(task, PieceResult(outcome.handle, outcome.reason, endpoint_id))
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_sent.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_sent.py
@@ -101,7 +101,7 @@
             else:
                 self.links.cancel(scheduler_id, correlation_ids)
 
-    def scheduler_lost(self, entry_id: EntryId) -> None:
+    def on_scheduler_lost(self, entry_id: EntryId) -> None:
         """Pass the pieces of a lost scheduler to `on_lost`, to be made elsewhere."""
         lost = [s for s in self.sent_by_id_.values() if s.scheduler_id == entry_id]
         for sent in lost:
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_stages.py
@@ -74,9 +74,9 @@
         self.sent.links = links
         self.results.links = links
 
-    def give_back(self) -> None:
+    def return_waiting_pieces(self) -> None:
         """Return waiting pieces of groups that other entries schedule now."""
-        self.scheduler_.give_back(
+        self.scheduler_.return_waiting_pieces(
             lambda group: self.groups.scheduler_of(group) != self.entry_id
         )
 
@@ -114,9 +114,9 @@
         """Release every result of a job; they can be made again."""
         self.results.release(job.graph.take_all())
 
-    def restart(self, job: StageJob) -> None:
+    def drop_final_inputs(self, job: StageJob) -> None:
         """Drop the results that the request itself reads: one no longer exists."""
-        self.results.release(job.graph.drop_stage(job.graph.sinks_))
+        self.results.release(job.graph.drop_results(job.graph.sinks_))
 
     def bytes_by_hall(self, job: StageJob) -> dict[HallId, int]:
         """Return how many bytes of the inputs of the request are in each hall."""
@@ -136,7 +136,7 @@
         """Send the pieces that are ready, or end the job if none are left."""
         if job.is_over_ or job.done_.done():
             return
-        self.results.release(job.graph.take_unread())
+        self.results.release(job.graph.take_fetched())
         if job.graph.is_done:
             job.done_.set_result(None)
             return
@@ -174,7 +174,7 @@
             len(keys),
             limits,
             excluded=excluded,
-            near_bytes_by_hall=self.tasks.near_bytes_by_hall(job, keys[0].stage),
+            local_bytes_by_hall=self.tasks.local_bytes_by_hall(job, keys[0].stage),
             now=now,
         )
         if group is None:
@@ -233,10 +233,10 @@
             sent = self.sent.awaited(scheduler_id, correlation_id)
             if sent is None or sent.job.is_over_:
                 continue
-            sent.job.graph.record_working(sent.task.key)
+            sent.job.graph.record_inputs_read(sent.task.key)
             jobs[id(sent.job)] = sent.job
         for job in jobs.values():
-            self.results.release(job.graph.take_unread())
+            self.results.release(job.graph.take_fetched())
 
     def on_answer(
         self, scheduler_id: EntryId, correlation_id: int, answer: PieceResult
@@ -289,7 +289,7 @@
             return
         if decision.drops_inputs:
             before = job.graph.stages[key.stage].after
-            self.results.release(job.graph.drop_stage(before))
+            self.results.release(job.graph.drop_results(before))
         if decision.action is RemakeAction.FAIL_TRIES:
             job.fail(f"piece failed {decision.tries} times: {answer.reason}")
             return
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_tasks.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_tasks.py
@@ -47,7 +47,7 @@
             rank_at=due_at + job.delay_s,
             queued_at=now,
             excluded=excluded,
-            near_bytes_by_hall=self.near_bytes_by_hall(job, key.stage),
+            local_bytes_by_hall=self.local_bytes_by_hall(job, key.stage),
             is_suspect=self.state.quarantine_.is_suspect(job.digest),
         )
 
@@ -62,7 +62,7 @@
         others = [r for r in usable if r.listed.endpoint_id not in excluded]
         return excluded if others else frozenset()
 
-    def near_bytes_by_hall(self, job: StageJob, number: int) -> dict[HallId, int]:
+    def local_bytes_by_hall(self, job: StageJob, number: int) -> dict[HallId, int]:
         """Return, for each hall, the bytes that need not move if a piece is made there.
 
         A piece reads every input. A result that the engine reads, or that has no inputs
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/tests/test_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/tests/test_scheduler.py
@@ -42,7 +42,7 @@
     scheduler = new_scheduler(lambda task, answer: replies.append((task, answer)))
     scheduler.submit(group("here"), task("a"))
     scheduler.submit(group("there"), task("b"))
-    scheduler.give_back(lambda found: found == group("there"))
+    scheduler.return_waiting_pieces(lambda found: found == group("there"))
     ((given_back, answer),) = replies
     assert (given_back.request_id, answer.reason) == ("b", "moved")
     assert len(scheduler.queues_by_group_[group("here")]) == 1
@@ -56,5 +56,5 @@
     scheduler = new_scheduler(queue_again)
     scheduler.submit(group("first"), task("a"))
     scheduler.submit(group("second"), task("b"))
-    scheduler.give_back(lambda found: found != group("new"))
+    scheduler.return_waiting_pieces(lambda found: found != group("new"))
     assert len(scheduler.queues_by_group_[group("new")]) == 2
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
@@ -18,8 +18,8 @@
     CapacityUse,
     GroupId,
     GroupLoad,
-    MadeRate,
     PlaceId,
+    ThroughputRate,
 )
 from leadford.forwarding.endpoints import KnownLimit
 from leadford.forwarding.membership import HeartbeatNews, is_due
@@ -155,7 +155,7 @@
             BacklogKey(ServiceId(report.service_id), report.is_urgent): report.pieces
             for report in message.commitments
         }
-        self.stages.backlog_.record_heard(entry_id, counts, now)
+        self.stages.backlog_.record_report(entry_id, counts, now)
         for report in message.refused:
             reservation = RetryReservation(
                 report.fingerprint,
@@ -171,7 +171,7 @@
             )
             for report in message.lanes
         ]
-        self.stages.scheduler_.capacities_.record_foreign(entry_id, uses, now)
+        self.stages.scheduler_.capacities_.record_foreign_use(entry_id, uses, now)
 
     def make_backlog(self, groups: set[GroupId]) -> FleetBacklog | None:
         """Return the backlog of the services whose groups this entry schedules."""
@@ -196,12 +196,12 @@
 
     def _made_rate(
         self, service_id: ServiceId, groups: set[GroupId]
-    ) -> MadeRate | None:
+    ) -> ThroughputRate | None:
         """Return the throughput of a service that is behind, if it is one group."""
         service_groups = [group for group in groups if group.service_id == service_id]
         if len(service_groups) != 1:
             return None
-        return self.stages.scheduler_.made_rate(service_groups[0])
+        return self.stages.scheduler_.sample_throughput(service_groups[0])
 
     def record_backlog(self, message: FleetBacklog) -> None:
         """Record the backlog that another entry has summed over all that it hears."""
@@ -212,7 +212,7 @@
             self.stages.backlog_.record_sum(service_id, backlog_sum, now)
             rate = None
             if report.pieces_per_s >= 0.0:
-                rate = MadeRate(report.pieces_per_s, report.less_urgent_per_s)
+                rate = ThroughputRate(report.pieces_per_s, report.less_urgent_per_s)
             self.stages.backlog_.record_rate(service_id, rate, now)
 
     def _group_reports(self, groups: set[GroupId]) -> list[GroupReport]:
@@ -232,7 +232,7 @@
         """Return the pieces that this entry has admitted and that are not yet done."""
         return [
             CommitmentReport(key.service_id, key.is_urgent, pieces)
-            for key, pieces in self.stages.backlog_.say().items()
+            for key, pieces in self.stages.backlog_.own_report().items()
         ]
 
     def _refusal_reports(self) -> list[RefusalReport]:
@@ -265,7 +265,7 @@
         """Record the rate limits of endpoints that another entry knows."""
         now = self.state.now()
         for report in message.limits:
-            self.state.limits_.record_heard(
+            self.state.limits_.record_report(
                 KnownLimit(
                     EndpointId(report.endpoint_id),
                     None if report.per_s < 0.0 else report.per_s,
@@ -276,7 +276,7 @@
     def _capacity_reports(self) -> list[LaneReport]:
         """Return the capacity that this entry uses where others schedule now."""
         groups = self.stages.groups
-        uses = self.stages.scheduler_.loads.uses_left(
+        uses = self.stages.scheduler_.loads.uses_in_foreign_groups(
             lambda group: groups.scheduler_of(group) != self.entry_id
         )
         return [
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -163,7 +163,7 @@
             self._dial()
             self._send_heartbeats()
             self.stages.sent.check()
-            self.stages.give_back()
+            self.stages.return_waiting_pieces()
             spread = self.random.uniform(*HEARTBEAT_JITTER)
             await asyncio.sleep(HEARTBEAT_INTERVAL_S * spread)
 
@@ -260,8 +260,8 @@
         self.news.forget(entry_id)
         self.relays.forget(entry_id)
         self.state.log.report(Event.PEER_LOST, peer=entry_id)
-        self.stages.scheduler_.forget(entry_id)
-        self.stages.sent.scheduler_lost(entry_id)
+        self.stages.scheduler_.drop_pieces_of(entry_id)
+        self.stages.sent.on_scheduler_lost(entry_id)
         self.stages.backlog_.forget(entry_id)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
--- a/packages/leadford/src/leadford/forwarding/admission/_forecast.py
+++ b/packages/leadford/src/leadford/forwarding/admission/_forecast.py
@@ -14,7 +14,8 @@
 
 # Fraction of the pieces of less urgent routes that counts as ahead of an urgent
 # request: pieces that have waited long go first, and running calls are not interrupted.
-# The value is only known to work together with LESS_URGENT_S of `batching/_queue`.
+# The value is only known to work together with LESS_URGENT_DELAY_S of
+# `batching/_queue`.
 LESS_URGENT_FRACTION = 0.1
 # Time that an engine takes to read results.
 ENGINE_READ_S = 0.2
@@ -103,11 +104,14 @@
                 return float("inf")
             held_s = capacity.call_s + self._read_s(number)
             pieces = backlog.pieces_before(
-                stage.service_id, is_urgent, later_part=LESS_URGENT_FRACTION, now=now
+                stage.service_id,
+                is_urgent,
+                less_urgent_fraction=LESS_URGENT_FRACTION,
+                now=now,
             )
             stage_s = capacity.backlog_s(pieces, stage.result_bytes, held_s)
-            made_s = backlog.made_s(stage.service_id, is_urgent, now)
-            delay_s = max(delay_s, stage_s, made_s)
+            drain_time_s = backlog.drain_time_s(stage.service_id, is_urgent, now)
+            delay_s = max(delay_s, stage_s, drain_time_s)
         return delay_s
 
     def pieces_by_service(self) -> dict[ServiceId, int]:
--- a/packages/leadford/src/leadford/forwarding/admission/tests/test_large_fleet.py
+++ b/packages/leadford/src/leadford/forwarding/admission/tests/test_large_fleet.py
@@ -75,8 +75,8 @@
         """Have one entry receive the heartbeats of its peers."""
         backlog = self.backlogs[number]
         for other in self.peers_of(number):
-            reported = self.backlogs[other].say()
-            backlog.record_heard(EntryId(f"e{other}"), reported, now)
+            reported = self.backlogs[other].own_report()
+            backlog.record_report(EntryId(f"e{other}"), reported, now)
             if self.reports_sum and other < HUBS:
                 reported_sum = self.backlogs[other].sum(SERVICE, now)
                 backlog.record_sum(SERVICE, reported_sum, now)
@@ -112,7 +112,7 @@
             number, came_at = self.queue.pop(0)
             self.backlogs[number].add(KEY, -PIECES)
             for _ in range(PIECES):
-                self.throughput.record_made(is_urgent=False)
+                self.throughput.record_computed(is_urgent=False)
             self.response_s.append(now - came_at + LIMITS.full_call_s + ENGINE_S)
 
 
@@ -125,8 +125,10 @@
         now = step * STEP_S
         if step % HEARTBEAT_STEPS == 0:
             waiting = len(fleet.queue) * PIECES
-            full_round = ENDPOINTS * LIMITS.batch
-            fleet.throughput.sample(waiting=waiting, full_round=full_round, now=now)
+            full_round_pieces = ENDPOINTS * LIMITS.batch
+            fleet.throughput.sample(
+                waiting=waiting, full_round_pieces=full_round_pieces, now=now
+            )
         for number in range(ENTRIES):
             if step % HEARTBEAT_STEPS == number % HEARTBEAT_STEPS:
                 fleet.receive_heartbeats(number, now)
--- a/packages/leadford/src/leadford/forwarding/batching/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/batching/__init__.py
@@ -10,8 +10,8 @@
     CapacityUse,
 )
 from leadford.forwarding.batching._endpoint_capacity import (
-    PAUSE_FULL_S,
-    PAUSE_ROOM_S,
+    NO_ROOM_PAUSE_S,
+    QUEUE_FULL_PAUSE_S,
     EndpointCapacity,
 )
 from leadford.forwarding.batching._filling import FillAction, NextCall, next_call
@@ -29,10 +29,10 @@
     CALL_INPUTS_READ_S,
     ENGINE_INPUTS_READ_S,
     call_limit_s,
-    engine_fetches_at_once,
+    can_stages_end_in_time,
+    engine_fetches_immediately,
     scheduler_limit_at,
     stages_check_at,
-    stages_end_in_time,
 )
 from leadford.forwarding.batching._queue import (
     Chunk,
@@ -47,15 +47,15 @@
     RemakeAction,
     decide_remake,
 )
-from leadford.forwarding.batching._throughput import MadeRate, Throughput
+from leadford.forwarding.batching._throughput import Throughput, ThroughputRate
 
 __all__ = [
     "CALL_INPUTS_READ_S",
     "ENDPOINT_LOST",
     "ENGINE_INPUTS_READ_S",
     "NO_ENDPOINT_WAIT_S",
-    "PAUSE_FULL_S",
-    "PAUSE_ROOM_S",
+    "QUEUE_FULL_PAUSE_S",
+    "NO_ROOM_PAUSE_S",
     "AdmittedBacklog",
     "BacklogKey",
     "BacklogSum",
@@ -68,7 +68,7 @@
     "GroupLoad",
     "GroupMap",
     "GroupTable",
-    "MadeRate",
+    "ThroughputRate",
     "NextCall",
     "PieceFailure",
     "PieceGraph",
@@ -82,11 +82,11 @@
     "Throughput",
     "call_limit_s",
     "decide_remake",
-    "engine_fetches_at_once",
+    "engine_fetches_immediately",
     "next_call",
     "queue_delay_s",
     "scheduler_limit_at",
     "schedulers_in_order",
     "stages_check_at",
-    "stages_end_in_time",
+    "can_stages_end_in_time",
 ]
--- a/packages/leadford/src/leadford/forwarding/batching/_backlog.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_backlog.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from leadford.common import EntryId
-from leadford.forwarding.batching._throughput import MadeRate
+from leadford.forwarding.batching._throughput import ThroughputRate
 from leadford.forwarding.routes import ServiceId
 
 # Reports of other entries expire after this age.
@@ -50,7 +50,7 @@
 class _RateReport(msgspec.Struct, frozen=True):
     """Hold the rate that a scheduler reported of its stage, and when it arrived."""
 
-    rate: MadeRate
+    rate: ThroughputRate
     received_at: float
 
 
@@ -72,12 +72,12 @@
         else:
             self.own_by_key_.pop(key, None)
 
-    def say(self) -> dict[BacklogKey, int]:
+    def own_report(self) -> dict[BacklogKey, int]:
         """Return the backlog of this entry that is reported to others now."""
         self.reported_by_key_ = dict(self.own_by_key_)
         return self.reported_by_key_
 
-    def record_heard(
+    def record_report(
         self,
         entry_id: EntryId,
         counts_by_key: dict[BacklogKey, int],
@@ -101,7 +101,7 @@
         )
 
     def record_rate(
-        self, service_id: ServiceId, rate: MadeRate | None, now: float
+        self, service_id: ServiceId, rate: ThroughputRate | None, now: float
     ) -> None:
         """Record the rate of a stage that is behind, or None while it is not."""
         if rate is None:
@@ -109,7 +109,7 @@
         else:
             self.rates_by_service_[service_id] = _RateReport(rate, now)
 
-    def made_s(self, service_id: ServiceId, is_urgent: bool, now: float) -> float:
+    def drain_time_s(self, service_id: ServiceId, is_urgent: bool, now: float) -> float:
         """Return how long a stage that is behind takes for the pieces before a request.
 
         The estimate uses the recent rate of the stage; it is 0 where the stage is not
@@ -177,14 +177,20 @@
         return max(0, reported_count + self.own_by_key_.get(key, 0) - own_reported)
 
     def pieces_before(
-        self, service_id: ServiceId, is_urgent: bool, *, later_part: float, now: float
+        self,
+        service_id: ServiceId,
+        is_urgent: bool,
+        *,
+        less_urgent_fraction: float,
+        now: float,
     ) -> float:
         """Return how many pieces go before those of a request.
 
-        Before an urgent request, less urgent pieces count by the fraction `later_part`:
-        those that have waited long go first, and running calls are not interrupted.
+        Before an urgent request, less urgent pieces count by the fraction
+        `less_urgent_fraction`: those that have waited long go first, and running calls
+        are not interrupted.
         """
         total = self.widest_sum(service_id, now)
         if is_urgent:
-            return total.urgent + total.less_urgent * later_part
+            return total.urgent + total.less_urgent * less_urgent_fraction
         return float(total.urgent + total.less_urgent)
--- a/packages/leadford/src/leadford/forwarding/batching/_capacity.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_capacity.py
@@ -40,7 +40,7 @@
         self.capacity_by_id_: dict[EndpointId, EndpointCapacity] = {}
         self.foreign_reports_by_entry_: dict[EntryId, _ForeignReport] = {}
 
-    def uses(self, now: float) -> list[CapacityUse]:
+    def occupied_capacity(self, now: float) -> list[CapacityUse]:
         """Return the calls and the result bytes that this process has at endpoints."""
         found = []
         for endpoint_id, capacity in self.capacity_by_id_.items():
@@ -49,7 +49,7 @@
                 found.append(CapacityUse(endpoint_id, used_bytes, capacity.calls_))
         return found
 
-    def record_foreign(
+    def record_foreign_use(
         self, entry_id: EntryId, uses: Iterable[CapacityUse], now: float
     ) -> None:
         """Record what another entry occupies in groups that it no longer schedules."""
--- a/packages/leadford/src/leadford/forwarding/batching/_endpoint_capacity.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_endpoint_capacity.py
@@ -10,9 +10,9 @@
 from leadford.forwarding.routes import PieceLimits, ResultHandle
 
 # No calls for this time after an endpoint reported that its queue is full.
-PAUSE_FULL_S = 0.06
+QUEUE_FULL_PAUSE_S = 0.06
 # No calls for this time after an endpoint had no room for a result.
-PAUSE_ROOM_S = 0.03
+NO_ROOM_PAUSE_S = 0.03
 # Longest wait of a call for room, as a fraction of the fixed duration of a call.
 ROOM_WAIT_FRACTION = 0.6
 # Room that an endpoint refused counts as occupied for this time.
--- a/packages/leadford/src/leadford/forwarding/batching/_graph.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_graph.py
@@ -192,7 +192,7 @@
         """Record that a piece waits for a call, or is in one but has no inputs yet."""
         self.pieces_by_key_[key].state_ = PieceState.QUEUED
 
-    def record_working(self, key: PieceKey) -> None:
+    def record_inputs_read(self, key: PieceKey) -> None:
         """Record that a piece is being computed and no longer needs its inputs."""
         piece = self.pieces_by_key_[key]
         if piece.state_ is PieceState.QUEUED:
@@ -210,7 +210,7 @@
         piece.state_ = PieceState.PENDING
         piece.handle_ = None
 
-    def drop_stage(self, stages: Sequence[int]) -> list[ResultHandle]:
+    def drop_results(self, stages: Sequence[int]) -> list[ResultHandle]:
         """Remove and return the results of stages, such as when one is lost."""
         handles = []
         for key, piece in self.pieces_by_key_.items():
@@ -220,7 +220,7 @@
                 piece.state_ = PieceState.PENDING
         return handles
 
-    def take_unread(self) -> list[ResultHandle]:
+    def take_fetched(self) -> list[ResultHandle]:
         """Remove and return the results that all readers have fetched."""
         needed = set(self.sinks_)
         for stage in self._wanted_stages():
@@ -238,4 +238,4 @@
 
     def take_all(self) -> list[ResultHandle]:
         """Remove and return every result still held; they can be computed again."""
-        return self.drop_stage(range(len(self.stages)))
+        return self.drop_results(range(len(self.stages)))
--- a/packages/leadford/src/leadford/forwarding/batching/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_limits.py
@@ -60,12 +60,12 @@
     return received_at + STAGES_CHECK_FRACTION * (deadline - received_at)
 
 
-def stages_end_in_time(needed_s: float, left_s: float) -> bool:
+def can_stages_end_in_time(needed_s: float, left_s: float) -> bool:
     """Tell whether stages can end in the time left, and so continue."""
     return needed_s <= left_s
 
 
-def engine_fetches_at_once(record: EndpointRecord, now: float) -> bool:
+def engine_fetches_immediately(record: EndpointRecord, now: float) -> bool:
     """Tell whether an engine fetches the inputs of a request as soon as it is sent.
 
     It does so while no request waits there and a slot is free, according to its last
--- a/packages/leadford/src/leadford/forwarding/batching/_queue.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_queue.py
@@ -36,7 +36,7 @@
 # Delays by which a piece counts as due later: one for routes below the highest
 # priority, one for each step of priority. They are finite so that less urgent pieces
 # cannot wait forever.
-LESS_URGENT_S = 2.0
+LESS_URGENT_DELAY_S = 2.0
 PRIORITY_STEP_S = 0.2
 
 
@@ -48,7 +48,7 @@
 
     Units: due_at, rank_at, queued_at and deadline are seconds of the monotonic clock.
     due_at is when the whole request should be answered; rank_at orders pieces and is
-    due_at plus a delay for less urgent ones. near_bytes_by_hall holds, for each hall,
+    due_at plus a delay for less urgent ones. local_bytes_by_hall holds, for each hall,
     the bytes that need not move between halls if the piece is computed there.
     """
 
@@ -64,19 +64,19 @@
     rank_at: float
     queued_at: float
     excluded: frozenset[EndpointId] = frozenset()
-    near_bytes_by_hall: dict[HallId, int] = {}
+    local_bytes_by_hall: dict[HallId, int] = {}
     # True if an endpoint crashed while it ran the request of the piece.
     is_suspect: bool = False
 
     @property
     def is_urgent(self) -> bool:
         """Tell whether the piece has no delay for a less urgent route."""
-        return self.rank_at - self.due_at < LESS_URGENT_S / 2.0
+        return self.rank_at - self.due_at < LESS_URGENT_DELAY_S / 2.0
 
     def moved_bytes(self, hall: HallId) -> int:
         """Return how many bytes move between halls if the piece is computed in one."""
-        max_near_bytes = max(self.near_bytes_by_hall.values(), default=0)
-        return max_near_bytes - self.near_bytes_by_hall.get(hall, 0)
+        max_near_bytes = max(self.local_bytes_by_hall.values(), default=0)
+        return max_near_bytes - self.local_bytes_by_hall.get(hall, 0)
 
 
 class Chunk(msgspec.Struct, frozen=True):
@@ -154,7 +154,7 @@
 
     Units: seconds.
     """
-    urgency_delay_s = 0.0 if route.is_urgent else LESS_URGENT_S
+    urgency_delay_s = 0.0 if route.is_urgent else LESS_URGENT_DELAY_S
     return urgency_delay_s + PRIORITY_STEP_S * priority
 
 
--- a/packages/leadford/src/leadford/forwarding/batching/_throughput.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_throughput.py
@@ -19,7 +19,7 @@
 BEHIND_MIN_FRACTION = 0.5
 
 
-class MadeRate(msgspec.Struct, frozen=True):
+class ThroughputRate(msgspec.Struct, frozen=True):
     """Hold the throughput of a stage that is behind.
 
     Units: pieces per second; `less_urgent` is the less urgent part of `pieces`.
@@ -46,24 +46,26 @@
         self.less_urgent_ = 0
         self.samples_: deque[_Sample] = deque()
 
-    def record_made(self, *, is_urgent: bool) -> None:
+    def record_computed(self, *, is_urgent: bool) -> None:
         """Count a piece that was computed."""
         self.made_ += 1
         if not is_urgent:
             self.less_urgent_ += 1
 
-    def sample(self, *, waiting: int, full_round: int, now: float) -> None:
+    def sample(self, *, waiting: int, full_round_pieces: int, now: float) -> None:
         """Record a sample of the counts and of the queue.
 
-        `waiting` is the number of queued pieces, `full_round` the number that one full
-        call to each endpoint takes.
+        `waiting` is the number of queued pieces, `full_round_pieces` the number that
+        one full call to each endpoint takes.
         """
-        is_behind = full_round > 0 and waiting >= BEHIND_MIN_FRACTION * full_round
+        is_behind = (
+            full_round_pieces > 0 and waiting >= BEHIND_MIN_FRACTION * full_round_pieces
+        )
         self.samples_.append(_Sample(now, self.made_, self.less_urgent_, is_behind))
         while self.samples_[0].sampled_at < now - RATE_WINDOW_S:
             self.samples_.popleft()
 
-    def rate(self, now: float) -> MadeRate | None:
+    def rate(self, now: float) -> ThroughputRate | None:
         """Return the throughput if the group was behind all the time, else None."""
         samples = [
             sample
@@ -76,7 +78,7 @@
         span_s = last.sampled_at - first.sampled_at
         if span_s < RATE_MIN_SPAN_S:
             return None
-        return MadeRate(
+        return ThroughputRate(
             (last.made - first.made) / span_s,
             (last.less_urgent - first.less_urgent) / span_s,
         )
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_backlog.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_backlog.py
@@ -10,13 +10,13 @@
 
 
 def pieces_before(backlog, now, *, is_urgent=False):
-    return backlog.pieces_before(SERVICE, is_urgent, later_part=0.5, now=now)
+    return backlog.pieces_before(SERVICE, is_urgent, less_urgent_fraction=0.5, now=now)
 
 
 def test_a_scheduler_that_hears_more_entries_is_believed():
     backlog = AdmittedBacklog()
     backlog.add(LESS_URGENT, 3)
-    backlog.record_heard(EntryId("e1"), {LESS_URGENT: 4}, 0.0)
+    backlog.record_report(EntryId("e1"), {LESS_URGENT: 4}, 0.0)
     backlog.record_sum(SERVICE, BacklogSum(68, 10, 300), 0.0)
     assert pieces_before(backlog, 0.1) == 3 + 310
     assert pieces_before(backlog, 0.1, is_urgent=True) == 10 + 303 * 0.5
@@ -25,7 +25,7 @@
 def test_an_entry_that_hears_as_many_counts_by_itself():
     backlog = AdmittedBacklog()
     backlog.add(LESS_URGENT, 3)
-    backlog.record_heard(EntryId("e1"), {LESS_URGENT: 4}, 0.0)
+    backlog.record_report(EntryId("e1"), {LESS_URGENT: 4}, 0.0)
     backlog.record_sum(SERVICE, BacklogSum(2, 0, 300), 0.0)
     assert pieces_before(backlog, 0.1) == 7
 
@@ -33,7 +33,7 @@
 def test_what_an_entry_had_said_before_a_sum_is_not_counted_twice():
     backlog = AdmittedBacklog()
     backlog.add(URGENT, 5)
-    assert backlog.say() == {URGENT: 5}
+    assert backlog.own_report() == {URGENT: 5}
     backlog.record_sum(SERVICE, BacklogSum(9, 40, 0), 0.0)
     backlog.add(URGENT, 2)
     assert pieces_before(backlog, 0.1) == 42
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_batches.py
@@ -57,7 +57,7 @@
         rank_at=due + delay,
         queued_at=queued,
         excluded=frozenset(EndpointId(name) for name in excluded),
-        near_bytes_by_hall={HallId(hall): count for hall, count in dict(near).items()},
+        local_bytes_by_hall={HallId(hall): count for hall, count in dict(near).items()},
     )
 
 
@@ -202,16 +202,16 @@
 def test_a_scheduler_counts_what_its_predecessor_still_has():
     capacities = CapacityTable()
     before = EntryId("n1")
-    capacities.record_foreign(before, [CapacityUse(ENDPOINT, 70, 1)], 0.0)
+    capacities.record_foreign_use(before, [CapacityUse(ENDPOINT, 70, 1)], 0.0)
     assert capacities.room_left(ENDPOINT, LIMITS, 0.1) == 30
     assert not capacities.is_free(ENDPOINT, LIMITS, 0.1)
     assert capacities.rank_endpoints([record("e")], LIMITS, waiting=1, now=0.1) == []
-    capacities.record_foreign(before, [CapacityUse(ENDPOINT, 20, 0)], 0.2)
+    capacities.record_foreign_use(before, [CapacityUse(ENDPOINT, 20, 0)], 0.2)
     assert capacities.room_left(ENDPOINT, LIMITS, 0.3) == 80
     assert capacities.is_free(ENDPOINT, LIMITS, 0.3)
     # Old reports expire, because the entry may be gone.
     assert capacities.room_left(ENDPOINT, LIMITS, 3.0) == 100
-    capacities.record_foreign(before, [], 3.0)
+    capacities.record_foreign_use(before, [], 3.0)
     assert capacities.foreign_reports_by_entry_ == {}
 
 
@@ -221,7 +221,7 @@
     capacity = capacities.capacity(ENDPOINT, LIMITS)
     capacity.begin(2, 40, 0.0)
     capacity.hold(ResultHandle("r"), 10, 0.0)
-    assert capacities.uses(0.1) == [CapacityUse(ENDPOINT, 50, 1)]
+    assert capacities.occupied_capacity(0.1) == [CapacityUse(ENDPOINT, 50, 1)]
 
 
 def test_a_short_call_waits_for_room_within_a_bound():
@@ -403,10 +403,12 @@
     key = BacklogKey(SERVICE, True)
     later = BacklogKey(SERVICE, False)
     table.add(key, 4)
-    table.record_heard(EntryId("n1"), {key: 2, later: 10}, 0.0)
+    table.record_report(EntryId("n1"), {key: 2, later: 10}, 0.0)
 
     def before(is_urgent, now):
-        return table.pieces_before(SERVICE, is_urgent, later_part=0.5, now=now)
+        return table.pieces_before(
+            SERVICE, is_urgent, less_urgent_fraction=0.5, now=now
+        )
 
     assert before(True, 0.1) == 4 + 2 + 5
     assert before(False, 0.1) == 16
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_filling.py
@@ -114,10 +114,10 @@
     # The near endpoint ends its call in 0.2 s; moving the inputs costs more than that.
     capacities.capacity(EndpointId("near"), LIMITS).begin(0, 0, 0.0)
     near_bytes = {HallId("near"): 3_000_000}
-    waiting = tasks(4, due_at=20.0, near_bytes_by_hall=near_bytes)
+    waiting = tasks(4, due_at=20.0, local_bytes_by_hall=near_bytes)
     decision = next_call(make_queue(waiting), capacities, [near, far], LIMITS, 0.0)
     assert decision.action is FillAction.LOOK_AGAIN
-    hurried = tasks(4, due_at=0.5, near_bytes_by_hall=near_bytes)
+    hurried = tasks(4, due_at=0.5, local_bytes_by_hall=near_bytes)
     decision = next_call(make_queue(hurried), capacities, [near, far], LIMITS, 0.0)
     assert decision.record is far
 
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_graph.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_graph.py
@@ -25,7 +25,7 @@
     finish(graph, first[1:])
     assert graph.inputs(1) == ("h0.0", "h0.1")
     finish(graph, graph.ready())
-    assert graph.take_unread() == ["h0.0", "h0.1"]
+    assert graph.take_fetched() == ["h0.0", "h0.1"]
     assert graph.inputs(2) == ("h1.0", "h1.1", "h1.2")
     finish(graph, graph.ready())
     assert graph.is_done
@@ -55,8 +55,8 @@
     graph = PieceGraph(stages=[stage(), stage(0)], counts=[1, 1])
     finish(graph, graph.ready())
     finish(graph, graph.ready())
-    assert graph.take_unread() == ["h0.0"]
-    assert graph.drop_stage(graph.sinks_) == ["h1.0"]
+    assert graph.take_fetched() == ["h0.0"]
+    assert graph.drop_results(graph.sinks_) == ["h1.0"]
     assert not graph.is_done
     assert [key.stage for key in graph.ready()] == [0]
     finish(graph, graph.ready())
@@ -69,10 +69,10 @@
     first, second = graph.ready()
     graph.record_queued(first)
     graph.record_queued(second)
-    graph.record_working(first)
-    assert graph.take_unread() == []
-    graph.record_working(second)
-    assert graph.take_unread() == ["h0.0", "h0.1"]
+    graph.record_inputs_read(first)
+    assert graph.take_fetched() == []
+    graph.record_inputs_read(second)
+    assert graph.take_fetched() == ["h0.0", "h0.1"]
     # The inputs are computed again only if a reader fails.
     assert graph.ready() == []
     assert graph.longest_chain() == [1]
@@ -86,7 +86,7 @@
 def test_a_piece_that_is_done_does_not_work_again():
     graph = PieceGraph(stages=[stage()], counts=[1])
     finish(graph, graph.ready())
-    graph.record_working(PieceKey(0, 0))
+    graph.record_inputs_read(PieceKey(0, 0))
     assert graph.is_done
     assert graph.pieces_by_key_[PieceKey(0, 0)].state_ is PieceState.DONE
 
@@ -118,7 +118,7 @@
             graph.record_failed(key)
         else:
             graph.record_done(key, ResultHandle(f"h{key.stage}.{key.piece}"))
-        graph.take_unread()
+        graph.take_fetched()
     assert graph.is_done
     assert len(graph.final_inputs()) == sum(counts[sink] for sink in graph.sinks_)
     assert PieceKey(0, 99) not in graph.pieces_by_key_
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_halls.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_halls.py
@@ -100,7 +100,7 @@
         hall = decision.record.listed.hall
         for sent in decision.tasks:
             self.input_bytes += INPUT_BYTES
-            self.moved_bytes += INPUT_BYTES - sent.near_bytes_by_hall.get(hall, 0)
+            self.moved_bytes += INPUT_BYTES - sent.local_bytes_by_hall.get(hall, 0)
             self.waits_s.append(now - sent.queued_at)
         endpoint_id = decision.record.listed.endpoint_id
         self.capacities.capacity(endpoint_id, LIMITS).begin(len(decision.tasks), 0, now)
@@ -123,7 +123,7 @@
         due_at=now + REMAINING_S,
         rank_at=now + REMAINING_S,
         queued_at=now,
-        near_bytes_by_hall={hall: INPUT_BYTES},
+        local_bytes_by_hall={hall: INPUT_BYTES},
     )
 
 
@@ -153,9 +153,9 @@
     queue = PieceQueue()
     for number in range(6 * PIECES):
         waiting = task(number // PIECES, number % PIECES, HALLS[0], now)
-        near_bytes_by_hall = {HALLS[0]: input_bytes}
+        local_bytes_by_hall = {HALLS[0]: input_bytes}
         queue.push(
-            msgspec.structs.replace(waiting, near_bytes_by_hall=near_bytes_by_hall)
+            msgspec.structs.replace(waiting, local_bytes_by_hall=local_bytes_by_hall)
         )
     return queue.take(
         limits=LIMITS,
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_limits.py
@@ -4,10 +4,10 @@
 
 from leadford.forwarding.batching import (
     call_limit_s,
-    engine_fetches_at_once,
+    can_stages_end_in_time,
+    engine_fetches_immediately,
     scheduler_limit_at,
     stages_check_at,
-    stages_end_in_time,
 )
 from leadford.forwarding.batching.tests.conftest import piece_limits
 from leadford.forwarding.endpoints import (
@@ -45,19 +45,19 @@
 
 
 def test_stages_go_on_while_they_can_end_in_time():
-    assert stages_end_in_time(1.0, 1.0)
-    assert not stages_end_in_time(1.01, 1.0)
+    assert can_stages_end_in_time(1.0, 1.0)
+    assert not can_stages_end_in_time(1.01, 1.0)
 
 
 def test_an_engine_with_a_free_slot_fetches_inputs_at_once():
-    assert engine_fetches_at_once(engine(1, 0, 2, in_flight=1), 0.0)
-    assert engine_fetches_at_once(engine(0, 0, 2, in_flight=2), 0.0)
-    assert not engine_fetches_at_once(engine(0, 0, 2, in_flight=3), 0.0)
-    assert not engine_fetches_at_once(engine(3, 0, 2, in_flight=0), 0.0)
-    assert not engine_fetches_at_once(engine(2, 1, 2), 0.0)
+    assert engine_fetches_immediately(engine(1, 0, 2, in_flight=1), 0.0)
+    assert engine_fetches_immediately(engine(0, 0, 2, in_flight=2), 0.0)
+    assert not engine_fetches_immediately(engine(0, 0, 2, in_flight=3), 0.0)
+    assert not engine_fetches_immediately(engine(3, 0, 2, in_flight=0), 0.0)
+    assert not engine_fetches_immediately(engine(2, 1, 2), 0.0)
 
 
 def test_an_engine_without_a_report_is_not_relied_on():
     record = engine(0, 0, 2)
     record.load_ = None
-    assert not engine_fetches_at_once(record, 0.0)
+    assert not engine_fetches_immediately(record, 0.0)
--- a/packages/leadford/src/leadford/forwarding/batching/tests/test_throughput.py
+++ b/packages/leadford/src/leadford/forwarding/batching/tests/test_throughput.py
@@ -5,8 +5,8 @@
 from leadford.forwarding.batching import (
     AdmittedBacklog,
     BacklogKey,
-    MadeRate,
     Throughput,
+    ThroughputRate,
 )
 from leadford.forwarding.routes import ServiceId
 
@@ -17,9 +17,9 @@
 def measured_rate(waiting, *, urgent_each=3, less_urgent_each=1, beats=8):
     throughput = Throughput()
     for beat in range(beats):
-        throughput.sample(waiting=waiting, full_round=FULL_ROUND, now=0.2 * beat)
+        throughput.sample(waiting=waiting, full_round_pieces=FULL_ROUND, now=0.2 * beat)
         for number in range(urgent_each + less_urgent_each):
-            throughput.record_made(is_urgent=number < urgent_each)
+            throughput.record_computed(is_urgent=number < urgent_each)
     return throughput.rate(0.2 * (beats - 1))
 
 
@@ -38,7 +38,7 @@
     throughput = Throughput()
     for beat in range(8):
         waiting = 10 if beat == 5 else 60
-        throughput.sample(waiting=waiting, full_round=FULL_ROUND, now=0.2 * beat)
+        throughput.sample(waiting=waiting, full_round_pieces=FULL_ROUND, now=0.2 * beat)
     assert throughput.rate(1.4) is None
 
 
@@ -51,19 +51,22 @@
 
 
 def test_what_is_before_a_request_leaves_as_fast_as_it_did_lately():
-    table = backlog(40, 60, MadeRate(100.0, 20.0))
-    assert table.made_s(SERVICE, True, 0.1) == pytest.approx(0.4)
-    assert table.made_s(SERVICE, False, 0.1) == pytest.approx(3.0)
+    table = backlog(40, 60, ThroughputRate(100.0, 20.0))
+    assert table.drain_time_s(SERVICE, True, 0.1) == pytest.approx(0.4)
+    assert table.drain_time_s(SERVICE, False, 0.1) == pytest.approx(3.0)
 
 
 def test_a_kind_of_which_nothing_is_made_is_behind_for_ever():
-    table = backlog(40, 60, MadeRate(100.0, 0.0))
-    assert table.made_s(SERVICE, False, 0.1) == float("inf")
-    assert backlog(40, 0, MadeRate(100.0, 0.0)).made_s(SERVICE, False, 0.1) == 0.0
+    table = backlog(40, 60, ThroughputRate(100.0, 0.0))
+    assert table.drain_time_s(SERVICE, False, 0.1) == float("inf")
+    assert (
+        backlog(40, 0, ThroughputRate(100.0, 0.0)).drain_time_s(SERVICE, False, 0.1)
+        == 0.0
+    )
 
 
 def test_an_old_rate_says_nothing():
-    table = backlog(40, 60, MadeRate(100.0, 20.0))
-    assert table.made_s(SERVICE, False, 1.6) == 0.0
+    table = backlog(40, 60, ThroughputRate(100.0, 20.0))
+    assert table.drain_time_s(SERVICE, False, 1.6) == 0.0
     table.record_rate(SERVICE, None, 0.2)
-    assert table.made_s(SERVICE, False, 0.3) == 0.0
+    assert table.drain_time_s(SERVICE, False, 0.3) == 0.0
--- a/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
@@ -82,7 +82,7 @@
         elif known is not None and sent_at > known.known_at:
             self._end(KnownLimit(endpoint_id, None, sent_at))
 
-    def record_heard(self, heard: KnownLimit) -> None:
+    def record_report(self, heard: KnownLimit) -> None:
         """Record what another entry reports, unless this one knows something newer."""
         known = self.known_by_id_.get(heard.endpoint_id)
         if known is not None:
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_limits.py
@@ -105,13 +105,13 @@
 def test_entries_without_a_part_hear_of_a_limit_and_of_its_end():
     first, second = fleet(2)
     first.record_answer(ID, 1.0, sent_at=9.9, now=10.0)
-    second.record_heard(*first.known(10.0))
+    second.record_report(*first.known(10.0))
     assert second.is_limited(ID)
     first.record_answer(ID, None, sent_at=11.0, now=11.1)
-    second.record_heard(*first.known(11.2))
+    second.record_report(*first.known(11.2))
     assert not second.is_limited(ID)
     # A late report changes nothing that is newer.
-    second.record_heard(KnownLimit(ID, 1.0, 10.5))
+    second.record_report(KnownLimit(ID, 1.0, 10.5))
     assert not second.is_limited(ID)
     assert second.known(30.0) == []
 
@@ -152,7 +152,7 @@
         for entry, heard in zip(entries, reversed(told), strict=True):
             for limit in heard:
                 late = KnownLimit(ID, limit.per_s, limit.known_at + travel_s)
-                entry.record_heard(late)
+                entry.record_report(late)
     assert entries[0].known(30.0) == [KnownLimit(ID, 1.0, 10.0)]
     # The answer to a request that took five seconds ends the limit.
     entries[0].record_answer(ID, None, sent_at=25.0, now=30.0)
