--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -31,7 +31,7 @@
 from leadford.forwarding.history import StoreEpochs
 from leadford.forwarding.membership import HeardVersions
 from leadford.forwarding.retries import RetryBudgets, WindowedRetryBudget
-from leadford.forwarding.routes import ProcessAge, RouteTable, Service, ServiceId
+from leadford.forwarding.routes import ProcessStatus, RouteTable, Service, ServiceId
 from leadford_server.forwarding._contract import RequestCodec
 from leadford_server.forwarding._deadlines import RequestDeadlines
 from leadford_server.forwarding.endpoints import ConnectionPool
@@ -220,16 +220,16 @@
         """Record that a planned stop begins now."""
         self.stop_began_at_ = self.now()
 
-    def age(self) -> ProcessAge:
+    def age(self) -> ProcessStatus:
         """Return the age of the configuration, and how long a planned stop has run."""
         now = self.now()
         seen_at = self.config_seen_at_
         stop_began_at = self.stop_began_at_
-        return ProcessAge(
+        return ProcessStatus(
             config_age_s=None if seen_at is None else now - seen_at,
             stopping_s=None if stop_began_at is None else now - stop_began_at,
             grace_s=self.bounds.grace_s,
-            behind_s=self.heard_versions_.behind_s(self.config_version(), now),
+            stale_s=self.heard_versions_.stale_s(self.config_version(), now),
             config_s=self.bounds.config_s,
         )
 
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_event_relay.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_event_relay.py
@@ -8,9 +8,9 @@
 import asyncio
 
 from leadford.forwarding.retries import (
-    ENDPOINTS_FOR_ANOTHER,
+    MIN_ENDPOINTS_FOR_RETRY,
     AttemptTiming,
-    silence_limit_at,
+    stream_silence_deadline,
 )
 from leadford_server.forwarding._progress import RequestProgress
 from leadford_server.forwarding._state import ForwardState
@@ -47,7 +47,7 @@
         timing = AttemptTiming(
             attempt, self.state.now(), self.progress.deadline_, endpoints_left
         )
-        return silence_limit_at(
+        return stream_silence_deadline(
             self.progress.match_.route,
             timing,
             has_begun=self.answer.has_begun,
@@ -64,7 +64,7 @@
                 # Events are frequent, so other endpoints are looked up only after a
                 # timeout.
                 limit_at = self._limit_at(
-                    len(self.progress.tried_), ENDPOINTS_FOR_ANOTHER
+                    len(self.progress.tried_), MIN_ENDPOINTS_FOR_RETRY
                 )
                 async with asyncio.timeout_at(limit_at):
                     data = await attempt.answer.read_more()
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_plain.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_plain.py
@@ -10,8 +10,8 @@
 from leadford.forwarding.retries import (
     AttemptEnd,
     AttemptTiming,
-    plain_limit_at,
-    usual_s,
+    plain_attempt_deadline,
+    usual_duration_s,
 )
 from leadford_server.forwarding._progress import RequestProgress
 from leadford_server.forwarding._state import ForwardState
@@ -77,8 +77,8 @@
             self.progress.deadline_,
             self.attempts.choice.endpoints_left(),
         )
-        usual_answer_s = usual_s(self.state.usable(match.service.service_id))
-        return plain_limit_at(match.route, timing, usual_answer_s)
+        usual_answer_s = usual_duration_s(self.state.usable(match.service.service_id))
+        return plain_attempt_deadline(match.route, timing, usual_answer_s)
 
     async def _wait_until_complete(self, attempt: Attempt) -> None:
         """Wait for the end of an answer and return the connection to the pool.
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
@@ -78,7 +78,7 @@
         if not decision.retry:
             self.answer.end_failed(failure.detail)
             return False
-        if not decision.keeps_endpoint:
+        if not decision.may_reuse_endpoint:
             return True
         self.progress.input_remakes_ += 1
         self.progress.tried_.pop()
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -309,6 +309,6 @@
             self.draining_ids_.add(entry_id)
         else:
             self.draining_ids_.discard(entry_id)
-        self.builds_.record_told(entry_id, message.lowest_version)
+        self.builds_.record_reported(entry_id, message.lowest_version)
         self.heartbeats.record(entry_id, message)
         self.news.ask_if_behind(peer, message, self.state.now())
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_news.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_news.py
@@ -15,7 +15,7 @@
 from leadford.common import EntryId, HallId, decode_as, pack, unpack
 from leadford.events import Event
 from leadford.forwarding.endpoints import ListedEndpoint, is_dialable
-from leadford.forwarding.history import START, StoreEpoch, StorePosition
+from leadford.forwarding.history import START_POSITION, StoreEpoch, StorePosition
 from leadford.forwarding.membership import NewsFetch
 from leadford.forwarding.routes import (
     ConfigDownload,
@@ -78,7 +78,7 @@
         self.on_listing = on_listing
         self.on_entries = on_entries
         self.config_fetch_ = NewsFetch(0)
-        self.listing_fetch_ = NewsFetch(START)
+        self.listing_fetch_ = NewsFetch(START_POSITION)
         self.download_ = ConfigDownload()
         self.parts_ = ConfigParts()
 
@@ -120,7 +120,7 @@
     ) -> StorePosition:
         """Return the position in the history of the store of data from a peer."""
         if peer.info.protocol_version < PROTOCOL_EPOCHS:
-            epoch = self.state.epochs_.of_untold()
+            epoch = self.state.epochs_.assumed_epoch()
         return StorePosition(StoreEpoch(epoch), revision)
 
     def forget(self, entry_id: EntryId) -> None:
@@ -158,7 +158,7 @@
         fetch = self.config_fetch_
         version = self.version()
         part = ConfigPart(message.version, message.total, message.offset, message.data)
-        if message.version <= version or not self.download_.fits(part):
+        if message.version <= version or not self.download_.is_next_part(part):
             # The store has delivered this version, or another peer this part.
             return
         now = self.state.now()
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
@@ -15,7 +15,7 @@
 
 from leadford.common import EntryId, pack, unpack
 from leadford.events import Event
-from leadford.forwarding.history import START, StoreEpoch, StorePosition
+from leadford.forwarding.history import START_POSITION, StoreEpoch, StorePosition
 from leadford.forwarding.membership import PeerClock
 from leadford.protocol import (
     PROTOCOL_EPOCHS,
@@ -96,7 +96,11 @@
         build could not see that a restored store gives revisions out again, nor say to
         which epoch its own belong.
         """
-        return PROTOCOL_EPOCHS if self.state.epochs_.is_told_ else PROTOCOL_FLEET
+        return (
+            PROTOCOL_EPOCHS
+            if self.state.epochs_.is_reported_by_store_
+            else PROTOCOL_FLEET
+        )
 
     def tell(self, kind: str, after: StorePosition, seen: ObjectEvents) -> None:
         """Pass changes on that this entry received from the store.
@@ -191,7 +195,7 @@
     def _learn_epoch(self, peer: PeerConnection, epoch: int) -> None:
         """Record the epoch that a peer knows, and log it if it is a new one."""
         before = self.state.epochs_.current_
-        if self.state.epochs_.record_told(StoreEpoch(epoch)):
+        if self.state.epochs_.record_peer_epoch(StoreEpoch(epoch)):
             self.state.log.report(
                 Event.STORE_RESTORED,
                 before=before,
@@ -220,7 +224,9 @@
             return
         epoch = StoreEpoch(message.epoch)
         self._learn_epoch(peer, epoch)
-        if StorePosition(epoch, message.revision) <= (follower.position_ or START):
+        if StorePosition(epoch, message.revision) <= (
+            follower.position_ or START_POSITION
+        ):
             # The changes have already arrived from another follower.
             RELAYED_NEWS_TOTAL.labels(kind=message.kind, end="known").inc()
             return
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
@@ -22,7 +22,7 @@
     RetryReason,
     answer_due_at,
     decide_retry,
-    held_limit_s,
+    max_hold_s,
 )
 from leadford.forwarding.routes import PRIORITY_HIGHEST, PRIORITY_LOWEST, RouteKind
 from leadford_server.forwarding._contract import ForwardCall, NotRunCause
@@ -126,7 +126,7 @@
         """
         if self.is_quarantined:
             raise NotRun("quarantined")
-        wait_until = self.state.now() + held_limit_s(self.progress.match_.route)
+        wait_until = self.state.now() + max_hold_s(self.progress.match_.route)
         while True:
             record = await self.choice.choose_by(wait_until)
             if record is None:
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
@@ -10,7 +10,7 @@
 
 from leadford.common import EndpointId
 from leadford.forwarding.endpoints import EndpointRecord
-from leadford.forwarding.retries import ENDPOINTS_FOR_ANOTHER
+from leadford.forwarding.retries import MIN_ENDPOINTS_FOR_RETRY
 from leadford.quarantine import choose_apart
 from leadford_server.forwarding._progress import RequestProgress
 from leadford_server.forwarding._state import ForwardState
@@ -60,7 +60,7 @@
     def endpoints_left(self) -> int:
         """Return how many endpoints the next attempt may use.
 
-        The count stops at `ENDPOINTS_FOR_ANOTHER`; a larger one makes no difference.
+        The count stops at `MIN_ENDPOINTS_FOR_RETRY`; a larger one makes no difference.
         """
         tried = self.progress.tried_
         service_id = self.progress.match_.service.service_id
@@ -69,7 +69,7 @@
             if record.listed.endpoint_id in tried or not self._may_use(record):
                 continue
             count += 1
-            if count >= ENDPOINTS_FOR_ANOTHER:
+            if count >= MIN_ENDPOINTS_FOR_RETRY:
                 break
         return count
 
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Result
 
 from leadford.events import Event
-from leadford.forwarding.history import START, StorePosition
+from leadford.forwarding.history import START_POSITION, StorePosition
 from leadford.forwarding.membership import WATCH_MARGIN_S
 from leadford_server.forwarding._store_contract import (
     ObjectEvents,
@@ -107,7 +107,7 @@
         self.position_: StorePosition | None = None
         # The store's revisions count changes of all kinds; this is the last position at
         # which an object of this kind changed.
-        self.changed_position_ = START
+        self.changed_position_ = START_POSITION
         self.confirmed_at_: float | None = None
         self.is_unanswered_ = False
         self.needs_fresh_listing_ = False
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
@@ -86,7 +86,7 @@
         for told in report.halls:
             epoch = StoreEpoch(told.epoch)
             if not has_epochs:
-                epoch = self.state.epochs_.of_untold()
+                epoch = self.state.epochs_.assumed_epoch()
             notice = HallNotice(
                 HallId(told.hall), told.revision, told.is_evacuated, epoch
             )
--- a/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -17,7 +17,7 @@
 from leadford.forwarding.endpoints._model import ListedEndpoint, ListedState
 from leadford.forwarding.endpoints._record import EndpointRecord
 from leadford.forwarding.endpoints._removed import RemovedEndpoints
-from leadford.forwarding.history import START, StorePosition
+from leadford.forwarding.history import START_POSITION, StorePosition
 from leadford.forwarding.routes import ServiceId
 
 # Maximum number of endpoints that are no longer listed, or leaving, of which the last
@@ -84,7 +84,7 @@
         self.removed_position_by_name_: dict[str, StorePosition] = {}
         # In order of arrival, so that the oldest is forgotten first.
         self.leaving_ids_: dict[EndpointId, None] = {}
-        self.changed_position_ = START
+        self.changed_position_ = START_POSITION
         self.membership_version_ = 0
         # Numbers of listed endpoints by hall, valid for `counted_at_version_`.
         self.listed_by_service_: dict[ServiceId, Mapping[HallId, int]] = {}
@@ -230,7 +230,7 @@
         position: StorePosition,
         now: float,
         *,
-        seen_at: StorePosition = START,
+        seen_at: StorePosition = START_POSITION,
     ) -> list[RosterChange]:
         """Record that no endpoint is listed under a name any more.
 
--- a/packages/leadford/src/leadford/forwarding/history/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/history/__init__.py
@@ -3,7 +3,7 @@
 from leadford.forwarding.history._epochs import AnswerAge, StoreEpochs
 from leadford.forwarding.history._position import (
     FIRST_EPOCH,
-    START,
+    START_POSITION,
     StoreEpoch,
     StorePosition,
 )
@@ -11,7 +11,7 @@
 __all__ = [
     "AnswerAge",
     "FIRST_EPOCH",
-    "START",
+    "START_POSITION",
     "StoreEpoch",
     "StoreEpochs",
     "StorePosition",
--- a/packages/leadford/src/leadford/forwarding/history/_epochs.py
+++ b/packages/leadford/src/leadford/forwarding/history/_epochs.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.current_ = FIRST_EPOCH
-        self.is_told_ = False
+        self.is_reported_by_store_ = False
         self.has_risen_ = False
         self.listeners_: list[Callable[[], None]] = []
 
@@ -40,15 +40,15 @@
         if epoch < self.current_:
             return AnswerAge.PAST
         was_known = self._is_known
-        self.is_told_ = True
+        self.is_reported_by_store_ = True
         has_risen = self._raise_to(epoch, was_known=was_known)
         return AnswerAge.RESTORED if has_risen else AnswerAge.PRESENT
 
-    def record_told(self, epoch: StoreEpoch) -> bool:
+    def record_peer_epoch(self, epoch: StoreEpoch) -> bool:
         """Record the epoch of another entry; return whether the epoch has increased."""
         return self._raise_to(epoch, was_known=self._is_known)
 
-    def of_untold(self) -> StoreEpoch:
+    def assumed_epoch(self) -> StoreEpoch:
         """Return the epoch to assume for data from a build that sends none.
 
         After the epoch has increased, such data may come from an earlier one.
@@ -57,7 +57,7 @@
 
     @property
     def _is_known(self) -> bool:
-        return self.is_told_ or self.current_ > FIRST_EPOCH
+        return self.is_reported_by_store_ or self.current_ > FIRST_EPOCH
 
     def _raise_to(self, epoch: StoreEpoch, *, was_known: bool) -> bool:
         """Return whether the epoch has increased; the first reported does not count."""
--- a/packages/leadford/src/leadford/forwarding/history/_position.py
+++ b/packages/leadford/src/leadford/forwarding/history/_position.py
@@ -23,4 +23,4 @@
 
 
 # The position before any data from the store is known.
-START = StorePosition(FIRST_EPOCH, 0)
+START_POSITION = StorePosition(FIRST_EPOCH, 0)
--- a/packages/leadford/src/leadford/forwarding/history/tests/test_epochs.py
+++ b/packages/leadford/src/leadford/forwarding/history/tests/test_epochs.py
@@ -16,7 +16,7 @@
 def test_the_epoch_of_a_store_that_tells_none_stays_the_first():
     epochs = StoreEpochs()
     assert epochs.record_answer(None) is AnswerAge.PRESENT
-    assert (epochs.current_, epochs.is_told_) == (FIRST_EPOCH, False)
+    assert (epochs.current_, epochs.is_reported_by_store_) == (FIRST_EPOCH, False)
 
 
 def test_the_first_epoch_that_is_told_is_no_restoration():
--- a/packages/leadford/src/leadford/forwarding/membership/_builds.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_builds.py
@@ -41,7 +41,7 @@
         self.own = own
         self.reported_by_id_: dict[EntryId, int] = {}
 
-    def record_told(self, entry_id: EntryId, lowest: int) -> None:
+    def record_reported(self, entry_id: EntryId, lowest: int) -> None:
         """Record the oldest version among an entry's links, as it reports it."""
         self.reported_by_id_[entry_id] = lowest
 
--- a/packages/leadford/src/leadford/forwarding/membership/_heard.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_heard.py
@@ -18,7 +18,7 @@
             return
         self.heard_at_by_version_.setdefault(version, now)
 
-    def behind_s(self, known: int, now: float) -> float | None:
+    def stale_s(self, known: int, now: float) -> float | None:
         """Return for how long a version newer than `known` has been reported.
 
         Units: seconds; None if no newer version has been reported.
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_builds.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_builds.py
@@ -38,7 +38,7 @@
                 continue
             lowest = self.builds_by_id[name].lowest_linked(self.linked(name))
             for peer in self.peers(name):
-                self.builds_by_id[peer].record_told(name, lowest)
+                self.builds_by_id[peer].record_reported(name, lowest)
 
     def replace(self, name, version):
         """Replace an entry by one of another build."""
@@ -94,18 +94,18 @@
 
 def test_an_old_entry_that_does_not_live_counts_no_more():
     builds = BuildVersions(own=NEW)
-    builds.record_told(HUB, NEW)
+    builds.record_reported(HUB, NEW)
     assert RULE not in builds.shared_rules({HUB: NEW, LEAF: OLD})
     assert RULE in builds.shared_rules({HUB: NEW})
 
 
 def test_what_a_lost_entry_told_counts_no_more():
     builds = BuildVersions(own=NEW)
-    builds.record_told(HUB, OLD)
+    builds.record_reported(HUB, OLD)
     assert RULE not in builds.shared_rules({HUB: NEW})
     builds.forget(HUB)
     assert RULE not in builds.shared_rules({HUB: NEW})
-    builds.record_told(HUB, NEW)
+    builds.record_reported(HUB, NEW)
     assert RULE in builds.shared_rules({HUB: NEW})
 
 
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
@@ -177,16 +177,16 @@
 
 def test_an_entry_is_behind_since_it_first_heard_of_a_version_it_has_not_got():
     heard = HeardVersions()
-    assert heard.behind_s(3, 10.0) is None
+    assert heard.stale_s(3, 10.0) is None
     heard.record(3, 3, 10.0)
-    assert heard.behind_s(3, 10.0) is None
+    assert heard.stale_s(3, 10.0) is None
     heard.record(4, 3, 10.0)
     heard.record(6, 3, 10.5)
     heard.record(4, 3, 10.9)
-    assert heard.behind_s(3, 11.0) == 1.0
+    assert heard.stale_s(3, 11.0) == 1.0
     # Following a series of changes does not make it count as behind for longer.
-    assert heard.behind_s(4, 11.0) == 0.5
-    assert heard.behind_s(6, 11.0) is None
+    assert heard.stale_s(4, 11.0) == 0.5
+    assert heard.stale_s(6, 11.0) is None
 
 
 def test_a_stop_ends_with_its_last_request_but_not_too_soon():
--- a/packages/leadford/src/leadford/forwarding/retries/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/retries/__init__.py
@@ -13,20 +13,20 @@
     decide_retry,
 )
 from leadford.forwarding.retries._limits import (
-    ENDPOINTS_FOR_ANOTHER,
+    MIN_ENDPOINTS_FOR_RETRY,
     AttemptTiming,
     answer_due_at,
-    held_limit_s,
-    plain_limit_at,
+    max_hold_s,
+    plain_attempt_deadline,
     request_deadline,
-    silence_limit_at,
-    usual_s,
+    stream_silence_deadline,
+    usual_duration_s,
 )
 
 __all__ = [
     "AttemptEnd",
     "AttemptTiming",
-    "ENDPOINTS_FOR_ANOTHER",
+    "MIN_ENDPOINTS_FOR_RETRY",
     "FailedAttempt",
     "RetryBudgets",
     "RetryDecision",
@@ -34,9 +34,9 @@
     "WindowedRetryBudget",
     "answer_due_at",
     "decide_retry",
-    "held_limit_s",
-    "plain_limit_at",
+    "max_hold_s",
+    "plain_attempt_deadline",
     "request_deadline",
-    "silence_limit_at",
-    "usual_s",
+    "stream_silence_deadline",
+    "usual_duration_s",
 ]
--- a/packages/leadford/src/leadford/forwarding/retries/_decision.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_decision.py
@@ -67,7 +67,7 @@
 class RetryDecision(msgspec.Struct, frozen=True):
     """Hold whether to retry, and the rule that decided.
 
-    `keeps_endpoint` is true if the failed attempt does not count: its inputs are
+    `may_reuse_endpoint` is true if the failed attempt does not count: its inputs are
     recomputed, and the same endpoint may be tried again.
     """
 
@@ -75,7 +75,7 @@
     reason: RetryReason
 
     @property
-    def keeps_endpoint(self) -> bool:
+    def may_reuse_endpoint(self) -> bool:
         """Tell whether the failed attempt does not count as an attempt."""
         return self.reason is RetryReason.INPUTS_REMADE
 
--- a/packages/leadford/src/leadford/forwarding/retries/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/retries/_limits.py
@@ -31,7 +31,7 @@
 # No stream is given up for a shorter silence.
 STREAM_SILENCE_MIN_S = 1.0
 # Endpoints that must remain for an attempt and another one after it.
-ENDPOINTS_FOR_ANOTHER = 2
+MIN_ENDPOINTS_FOR_RETRY = 2
 # Fraction of a route's latency target for which a request waits until an endpoint takes
 # requests again. A request with stages waits longer, because a refusal would waste the
 # results of its stages.
@@ -72,7 +72,7 @@
     return deadline - ANSWER_MARGIN_S
 
 
-def held_limit_s(route: Route) -> float:
+def max_hold_s(route: Route) -> float:
     """Return how long a request waits while endpoints ask for a pause.
 
     Units: seconds.
@@ -81,7 +81,7 @@
     return aim_s * (HELD_FRACTION_WITH_STAGES if route.stages else HELD_FRACTION)
 
 
-def plain_limit_at(
+def plain_attempt_deadline(
     route: Route, timing: AttemptTiming, usual_duration_s: float | None
 ) -> float:
     """Return until when to wait for the answer to a plain request.
@@ -99,7 +99,9 @@
     return timing.now + limit_s
 
 
-def silence_limit_at(route: Route, timing: AttemptTiming, *, has_begun: bool) -> float:
+def stream_silence_deadline(
+    route: Route, timing: AttemptTiming, *, has_begun: bool
+) -> float:
     """Return until when to wait for the next event of a stream.
 
     `has_begun` is true once the caller has received a part of the answer. Before that
@@ -117,7 +119,7 @@
     return timing.now + silence_s
 
 
-def usual_s(records: Iterable[EndpointRecord]) -> float | None:
+def usual_duration_s(records: Iterable[EndpointRecord]) -> float | None:
     """Return the usual duration at the fastest endpoint, or None if none is known.
 
     Units: seconds.
@@ -132,6 +134,6 @@
 
 def _allows_another_attempt(route: Route, timing: AttemptTiming) -> bool:
     """Tell whether route, attempt count and endpoints allow another attempt."""
-    if timing.endpoints_left < ENDPOINTS_FOR_ANOTHER:
+    if timing.endpoints_left < MIN_ENDPOINTS_FOR_RETRY:
         return False
     return route.is_repeatable and timing.attempt < route.attempts_max
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_decision.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_decision.py
@@ -93,10 +93,10 @@
         decision, spent = decide(
             end=AttemptEnd.INPUTS_GONE, input_remakes=remakes, attempts=3, slack=0.0
         )
-        assert decision.retry and decision.keeps_endpoint
+        assert decision.retry and decision.may_reuse_endpoint
         assert spent == 0
     decision, spent = decide(end=AttemptEnd.INPUTS_GONE, input_remakes=2)
-    assert decision.reason is RetryReason.ALLOWED and not decision.keeps_endpoint
+    assert decision.reason is RetryReason.ALLOWED and not decision.may_reuse_endpoint
     assert spent == 1
 
 
--- a/packages/leadford/src/leadford/forwarding/retries/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/retries/tests/test_limits.py
@@ -6,11 +6,11 @@
 from leadford.forwarding.retries import (
     AttemptTiming,
     answer_due_at,
-    held_limit_s,
-    plain_limit_at,
+    max_hold_s,
+    plain_attempt_deadline,
     request_deadline,
-    silence_limit_at,
-    usual_s,
+    stream_silence_deadline,
+    usual_duration_s,
 )
 from leadford.forwarding.routes import (
     Route,
@@ -62,34 +62,40 @@
 def test_a_safe_request_waits_by_what_is_usual_and_by_its_time(
     usual_duration_s, expected
 ):
-    assert plain_limit_at(SAFE, TIMING, usual_duration_s) == pytest.approx(expected)
+    assert plain_attempt_deadline(SAFE, TIMING, usual_duration_s) == pytest.approx(
+        expected
+    )
 
 
 def test_the_last_attempt_and_what_may_not_be_repeated_wait_to_the_deadline():
     last = msgspec.structs.replace(TIMING, attempt=3)
-    assert plain_limit_at(SAFE, last, 0.1) == 14.0
+    assert plain_attempt_deadline(SAFE, last, 0.1) == 14.0
     unsafe = msgspec.structs.replace(SAFE, kind=RouteKind.UNSAFE)
-    assert plain_limit_at(unsafe, TIMING, 0.1) == 14.0
-    assert silence_limit_at(STREAM, last, has_begun=True) == 14.0
+    assert plain_attempt_deadline(unsafe, TIMING, 0.1) == 14.0
+    assert stream_silence_deadline(STREAM, last, has_begun=True) == 14.0
     one_only = msgspec.structs.replace(STREAM, is_resumable=False)
-    assert silence_limit_at(one_only, TIMING, has_begun=True) == 14.0
+    assert stream_silence_deadline(one_only, TIMING, has_begun=True) == 14.0
 
 
 def test_with_one_endpoint_left_nothing_follows_and_the_attempt_waits():
     alone = msgspec.structs.replace(TIMING, endpoints_left=1)
-    assert plain_limit_at(SAFE, alone, 0.1) == 14.0
-    assert silence_limit_at(STREAM, alone, has_begun=False) == 14.0
+    assert plain_attempt_deadline(SAFE, alone, 0.1) == 14.0
+    assert stream_silence_deadline(STREAM, alone, has_begun=False) == 14.0
 
 
 def test_a_stream_may_be_silent_for_two_aimed_pauses_and_a_second_at_least():
-    assert silence_limit_at(STREAM, TIMING, has_begun=True) == pytest.approx(11.6)
+    assert stream_silence_deadline(STREAM, TIMING, has_begun=True) == pytest.approx(
+        11.6
+    )
     brisk = msgspec.structs.replace(STREAM, gap_aim_ms=100.0)
-    assert silence_limit_at(brisk, TIMING, has_begun=True) == pytest.approx(11.0)
+    assert stream_silence_deadline(brisk, TIMING, has_begun=True) == pytest.approx(11.0)
 
 
 def test_before_its_first_event_a_stream_may_take_its_aim():
     brisk = msgspec.structs.replace(STREAM, gap_aim_ms=100.0)
-    assert silence_limit_at(brisk, TIMING, has_begun=False) == pytest.approx(11.6)
+    assert stream_silence_deadline(brisk, TIMING, has_begun=False) == pytest.approx(
+        11.6
+    )
 
 
 def test_what_is_usual_is_told_by_the_fastest_endpoint_that_is_known():
@@ -97,13 +103,13 @@
     slower = record("b", [50.0] * 5)
     new = record("c", [1.0] * 2)
     expected_s = known.latency_ms_.value_ / 1_000.0
-    assert usual_s([slower, known, new]) == pytest.approx(expected_s)
-    assert usual_s([new]) is None
+    assert usual_duration_s([slower, known, new]) == pytest.approx(expected_s)
+    assert usual_duration_s([new]) is None
 
 
 def test_a_request_waits_longer_for_an_endpoint_once_its_stages_are_made():
     staged = msgspec.structs.replace(SAFE, stages=(StageSpec(ServiceId("s")),))
-    assert held_limit_s(SAFE) < SAFE.aim_ms / 1_000.0
-    assert held_limit_s(staged) == SAFE.aim_ms / 1_000.0
+    assert max_hold_s(SAFE) < SAFE.aim_ms / 1_000.0
+    assert max_hold_s(staged) == SAFE.aim_ms / 1_000.0
     without_aim = msgspec.structs.replace(SAFE, aim_ms=0.0)
-    assert 0.0 < held_limit_s(without_aim) < SAFE.timeout_ms / 1_000.0
+    assert 0.0 < max_hold_s(without_aim) < SAFE.timeout_ms / 1_000.0
--- a/packages/leadford/src/leadford/forwarding/routes/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/routes/__init__.py
@@ -1,6 +1,6 @@
 """Model routes, services and workspaces, look up routes, and decide who may start."""
 
-from leadford.forwarding.routes._denial import ProcessAge, StartDenial, decide_start
+from leadford.forwarding.routes._denial import ProcessStatus, StartDenial, decide_start
 from leadford.forwarding.routes._model import (
     PRIORITY_HIGHEST,
     PRIORITY_LOWEST,
@@ -43,7 +43,7 @@
     "LookupFailure",
     "LookupFault",
     "PieceLimits",
-    "ProcessAge",
+    "ProcessStatus",
     "ResultHandle",
     "Route",
     "RouteId",
--- a/packages/leadford/src/leadford/forwarding/routes/_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_denial.py
@@ -44,12 +44,12 @@
     STOPPING = "stopping"
 
 
-class ProcessAge(msgspec.Struct, frozen=True):
+class ProcessStatus(msgspec.Struct, frozen=True):
     """Hold the age of the configuration and the progress of a planned stop.
 
     Units: seconds. config_age_s counts from the last confirmation by the store, None
     without one; stopping_s counts from the start of a planned stop, None without one;
-    grace_s is the maximum duration of a planned stop; behind_s is for how long another
+    grace_s is the maximum duration of a planned stop; stale_s is for how long another
     entry has been known to use a newer configuration, None if none is known; config_s
     is the maximum time from the acceptance of a configuration until it is active.
     """
@@ -57,15 +57,15 @@
     config_age_s: float | None
     stopping_s: float | None
     grace_s: float
-    behind_s: float | None = None
+    stale_s: float | None = None
     config_s: float = 2.0
 
     @property
     def is_stale(self) -> bool:
         """Return whether the configuration is known to be too old to be used."""
-        if self.behind_s is None:
+        if self.stale_s is None:
             return False
-        return self.behind_s > self.config_s - STALE_CONFIG_MARGIN_S
+        return self.stale_s > self.config_s - STALE_CONFIG_MARGIN_S
 
 
 _DENIAL_BY_FAULT = {
@@ -76,7 +76,7 @@
 
 def decide_start(
     found: Result[RouteMatch, LookupFailure] | None,
-    age: ProcessAge,
+    age: ProcessStatus,
     deadline_ms: float | None = None,
 ) -> Result[RouteMatch, StartDenial]:
     """Return the matched route if the request may start, or why it may not.
@@ -100,11 +100,11 @@
     return Success(match)
 
 
-def _is_fresh(age: ProcessAge) -> bool:
+def _is_fresh(age: ProcessStatus) -> bool:
     return age.config_age_s is not None and age.config_age_s < MAX_DENIAL_CONFIG_AGE_S
 
 
-def _can_finish(route: Route, age: ProcessAge, deadline_ms: float | None) -> bool:
+def _can_finish(route: Route, age: ProcessStatus, deadline_ms: float | None) -> bool:
     """Return whether a request that starts now can end before a planned stop does.
 
     If too few other entries are ready, the platform may route callers here for as long
--- a/packages/leadford/src/leadford/forwarding/routes/_parts.py
+++ b/packages/leadford/src/leadford/forwarding/routes/_parts.py
@@ -73,7 +73,7 @@
         """Return the number of received bytes."""
         return len(self.data_)
 
-    def fits(self, part: ConfigPart) -> bool:
+    def is_next_part(self, part: ConfigPart) -> bool:
         """Return whether a part is the next of this version, or starts a new one."""
         if (part.version, part.total) == (self.version_, self.total_bytes_):
             return part.offset == len(self.data_) and bool(part.data)
--- a/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_denial.py
@@ -7,7 +7,7 @@
 from leadford.forwarding.routes import (
     LookupFailure,
     LookupFault,
-    ProcessAge,
+    ProcessStatus,
     Route,
     RouteId,
     RouteKind,
@@ -29,7 +29,7 @@
     aim_ms=1_600.0,
 )
 FOUND = RouteMatch(ROUTE, Service(ServiceId("s"), connections_max=1), None, 5, 7)
-FRESH = ProcessAge(config_age_s=1.0, stopping_s=None, grace_s=8.0)
+FRESH = ProcessStatus(config_age_s=1.0, stopping_s=None, grace_s=8.0)
 
 
 def age(**changes):
@@ -68,9 +68,9 @@
 
 @pytest.mark.parametrize("found", [Success(FOUND), missing(LookupFault.NO_KEY)])
 def test_nothing_is_decided_by_a_configuration_known_to_be_too_far_behind(found):
-    soon = decide_start(found, age(behind_s=2.5, config_s=3.0))
+    soon = decide_start(found, age(stale_s=2.5, config_s=3.0))
     assert soon == decide_start(found, FRESH)
-    late = decide_start(found, age(behind_s=2.6, config_s=3.0))
+    late = decide_start(found, age(stale_s=2.6, config_s=3.0))
     assert late == Failure(StartDenial.CONFIG_MAY_BE_OLD)
 
 
--- a/packages/leadford/src/leadford/forwarding/routes/tests/test_parts.py
+++ b/packages/leadford/src/leadford/forwarding/routes/tests/test_parts.py
@@ -98,18 +98,18 @@
     parts = ConfigParts()
     receiver = ConfigDownload()
     first_part = parts.part(config(7), 0, 0)
-    assert receiver.fits(first_part)
+    assert receiver.is_next_part(first_part)
     assert receiver.add(first_part) == Success(None)
     # The part was already received, or the one before it is missing.
-    assert not receiver.fits(first_part)
-    assert not receiver.fits(parts.part(config(7), 7, 2 * PART_BYTES))
-    assert receiver.fits(parts.part(config(7), 7, PART_BYTES))
+    assert not receiver.is_next_part(first_part)
+    assert not receiver.is_next_part(parts.part(config(7), 7, 2 * PART_BYTES))
+    assert receiver.is_next_part(parts.part(config(7), 7, PART_BYTES))
     # No part of an older version fits, and of a newer one only the first part.
     older = msgspec.structs.replace(first_part, version=6)
-    assert not receiver.fits(older)
+    assert not receiver.is_next_part(older)
     newer = msgspec.structs.replace(first_part, version=8)
-    assert receiver.fits(newer)
-    assert not receiver.fits(msgspec.structs.replace(newer, offset=PART_BYTES))
+    assert receiver.is_next_part(newer)
+    assert not receiver.is_next_part(msgspec.structs.replace(newer, offset=PART_BYTES))
 
 
 def test_parts_of_one_version_may_come_from_several_peers():
@@ -127,5 +127,5 @@
     receiver = ConfigDownload()
     assert isinstance(receiver.add(spoiled), Failure)
     assert receiver.offset == 0
-    assert not receiver.fits(msgspec.structs.replace(part, data=b""))
+    assert not receiver.is_next_part(msgspec.structs.replace(part, data=b""))
     assert receiver.add(part).unwrap() == config(7, routes=1)
