--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -53,7 +53,7 @@
     @property
     def fingerprint(self) -> str:
         """Return a value that is the same when a request is sent again."""
-        return f"{self.request_key}/{self.prompt.own_part}"
+        return f"{self.request_key}/{self.prompt.last_part_id}"
 
     @property
     def path(self) -> str:
@@ -103,7 +103,7 @@
 
     `not_run` is None where the request may have run.
 
-    Units: rest_s is how long the endpoint keeps the idle connection.
+    Units: idle_timeout_s is how long the endpoint keeps the idle connection.
     """
 
     status: int
@@ -114,7 +114,7 @@
     is_encoded: bool
     is_signed: bool
     closes: bool
-    rest_s: float | None
+    idle_timeout_s: float | None
     load: ReportedLoad | None
     model_version: int | None
     backpressure: Backpressure = Backpressure()
--- a/packages/leadford-server/src/leadford_server/forwarding/_heads.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_heads.py
@@ -20,11 +20,11 @@
     """
     if head.not_run is NotRunCause.REPLACED:
         # Another process answered, so its answer says nothing about this endpoint.
-        record.record_replaced()
+        record.mark_replaced()
         return
     if head.load is not None:
         record.record_load(head.load, state.now())
-    state.limits_.record_answer(
+    state.endpoint_limits_.record_answer(
         record.listed.endpoint_id,
         head.backpressure.limit_per_s,
         sent_at=sent_at,
@@ -32,7 +32,7 @@
     )
     if head.backpressure.rest_s is not None:
         until = state.now() + head.backpressure.rest_s
-        state.rests_.record_asked(record.listed.endpoint_id, until)
+        state.endpoint_retry_after_.record_retry_after(record.listed.endpoint_id, until)
     if head.backpressure.is_leaving:
         # The listing may report this much later, or never.
         state.roster_.record_leaving(record.listed.endpoint_id)
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -291,9 +291,9 @@
             known = self.state_.roster_.known_ids()
             self.state_.pool_.sweep(known)
             self.state_.engines_.retain(known)
-            self.state_.cold_.retain(known)
-            self.state_.limits_.retain(known, self.state_.now())
-            self.state_.rests_.sweep(self.state_.now())
+            self.state_.cold_endpoints_.retain(known)
+            self.state_.endpoint_limits_.retain(known, self.state_.now())
+            self.state_.endpoint_retry_after_.sweep(self.state_.now())
             self.halls_.expire()
 
     async def _watch_suspensions(self) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -21,7 +21,7 @@
     EndpointChooser,
     EndpointLimits,
     EndpointRecord,
-    EndpointRests,
+    EndpointRetryAfter,
     EndpointRoster,
     EngineChooser,
     EvacuatedHalls,
@@ -71,20 +71,20 @@
 class PlacedEngine(msgspec.Struct, frozen=True, eq=False):
     """Hold an engine that another entry chose for a prompt.
 
-    `tell_read` tells that entry that the prompt no longer waits at the engine.
+    `report_prefilled` tells that entry that the prompt no longer waits at the engine.
     """
 
     record: EndpointRecord
-    tell_read: Callable[[], None]
+    report_prefilled: Callable[[], None]
 
 
-class Placing(Protocol):
+class PromptPlacement(Protocol):
     """Ask the entry that places the prompts of all entries."""
 
-    def takes(self, service: Service) -> bool:
+    def places_service(self, service: Service) -> bool:
         """Tell whether one entry chooses endpoints of a service for all entries."""
 
-    def knows_all(self, service_id: ServiceId, prompt: PromptShape) -> bool:
+    def places_for_all(self, service_id: ServiceId, prompt: PromptShape) -> bool:
         """Tell whether this entry places the prompts of all entries."""
 
     async def place(
@@ -124,18 +124,18 @@
         self.entry_id = entry_id
         self.epochs_ = StoreEpochs()
         halls = EvacuatedHalls(is_known=bounds.evacuate_s is None)
-        self.roster_ = EndpointRoster.from_bounds(
+        self.roster_ = EndpointRoster.from_drain_period(
             bounds.drain_s, bounds.heartbeat_s, halls
         )
-        self.cold_ = ColdEndpoints(entry_id=entry_id)
-        self.rests_ = EndpointRests()
-        self.limits_ = EndpointLimits(entry_id=entry_id)
+        self.cold_endpoints_ = ColdEndpoints(entry_id=entry_id)
+        self.endpoint_retry_after_ = EndpointRetryAfter()
+        self.endpoint_limits_ = EndpointLimits(entry_id=entry_id)
         self.chooser_ = EndpointChooser(hall=hall, random=random)
         self.engines_ = EngineChooser(hall=hall)
         self.pool_ = ConnectionPool(codec=codec, loop=loop)
         self.deadlines_ = RequestDeadlines()
-        self.budgets_ = RetryBudgets(make=self._new_budget)
-        self.groups_ = GroupMap(regions=self.regions, roster=self.roster_)
+        self.retry_budgets_ = RetryBudgets(make=self._new_budget)
+        self.group_map_ = GroupMap(regions=self.regions, roster=self.roster_)
         self.quarantine_ = RequestQuarantine(now=self.now, random=random, log=log)
         self.first_byte_ = FirstByteTimes()
         self.reservations_ = RetryReservations()
@@ -143,7 +143,7 @@
         self.heard_versions_ = HeardVersions()
         self.stop_began_at_: float | None = None
         # Set by the links when they are created.
-        self.placing_: Placing | None = None
+        self.placing_: PromptPlacement | None = None
 
     def now(self) -> float:
         """Return the monotonic clock.
@@ -160,7 +160,7 @@
         """Tell whether an endpoint that was chosen before still takes new work."""
         return self.roster_.is_usable(record, self.now())
 
-    def hold_s(self, record: EndpointRecord) -> float:
+    def send_delay_s(self, record: EndpointRecord) -> float:
         """Return in how many seconds this entry may send an endpoint another request.
 
         0 if it may send one now. Call `record_sent` for each request that is sent.
@@ -169,29 +169,29 @@
             return 0.0
         listed = record.listed
         now = self.now()
-        limit_s = self.limits_.wait_s(
+        limit_s = self.endpoint_limits_.wait_s(
             listed.endpoint_id,
             now,
-            is_alone=self._is_called_by_one_entry(listed.service_id),
+            is_sole_sender=self._is_called_by_one_entry(listed.service_id),
         )
-        return max(limit_s, self.rests_.left_s(listed.endpoint_id, now))
+        return max(limit_s, self.endpoint_retry_after_.wait_s(listed.endpoint_id, now))
 
-    def service_hold_s(self, service_id: ServiceId) -> float:
+    def service_send_delay_s(self, service_id: ServiceId) -> float:
         """Return in how many seconds any endpoint of a service may get a request.
 
         0 if one may get a request now, or if none is usable.
         """
         if not self._is_any_throttled:
             return 0.0
-        return min(map(self.hold_s, self.usable(service_id)), default=0.0)
+        return min(map(self.send_delay_s, self.usable(service_id)), default=0.0)
 
     def record_sent(self, record: EndpointRecord) -> None:
         """Count a request or a call that goes to an endpoint now."""
         listed = record.listed
-        self.limits_.record_sent(
+        self.endpoint_limits_.record_sent(
             listed.endpoint_id,
             self.now(),
-            is_alone=self._is_called_by_one_entry(listed.service_id),
+            is_sole_sender=self._is_called_by_one_entry(listed.service_id),
         )
 
     @property
@@ -200,7 +200,10 @@
 
         Saves the check of many endpoints for each request.
         """
-        return bool(self.limits_.known_by_id_ or self.rests_.until_by_id_)
+        return bool(
+            self.endpoint_limits_.known_by_id_
+            or self.endpoint_retry_after_.until_by_id_
+        )
 
     def _is_called_by_one_entry(self, service_id: ServiceId) -> bool:
         """Tell whether one entry makes all calls of a service: a batched stage."""
@@ -237,9 +240,9 @@
         """Divide the bounds of the fleet among the entries that exist."""
         count = max(1, len(entry_ids))
         self.pool_.entry_count_ = count
-        self.budgets_.set_entry_count(count)
-        self.cold_.set_entries(entry_ids)
-        self.limits_.set_entries(entry_ids)
+        self.retry_budgets_.set_entry_count(count)
+        self.cold_endpoints_.set_entries(entry_ids)
+        self.endpoint_limits_.set_entries(entry_ids)
 
     def _new_budget(self) -> WindowedRetryBudget:
         return WindowedRetryBudget(
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
@@ -99,7 +99,7 @@
             self.end_quarantined()
             return
         service_id = self.progress.match_.service.service_id
-        is_held = self.state.service_hold_s(service_id) > 0.0
+        is_held = self.state.service_send_delay_s(service_id) > 0.0
         if is_held and not self.progress.may_have_run_:
             self.end_held_back(detail)
             return
@@ -108,8 +108,8 @@
     def end_held_back(self, detail: str) -> None:
         """End a request because every endpoint asks for a pause."""
         service_id = self.progress.match_.service.service_id
-        hold_s = self.state.service_hold_s(service_id)
-        self.end(EndReason.HELD_BACK, detail, hold_s)
+        send_delay_s = self.state.service_send_delay_s(service_id)
+        self.end(EndReason.HELD_BACK, detail, send_delay_s)
 
     def end_quarantined(self) -> None:
         """End a request that ran at too many endpoints that crashed."""
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
@@ -145,7 +145,7 @@
         progress.deadline_ = request_deadline(
             route, self.request.deadline_ms, self.request.received_at
         )
-        budget = self.state.budgets_.budget(match.service.service_id)
+        budget = self.state.retry_budgets_.budget(match.service.service_id)
         budget.record_request(self.state.now())
         # A request that a caller repeats has the same digest at every entry. Without
         # this check, one request crashed 27 endpoints, and retry budgets were spent on
@@ -172,9 +172,11 @@
     def _is_held_back(self) -> bool:
         """Return whether all endpoints ask for a pause that outlasts the deadline."""
         progress = self.progress
-        hold_s = self.state.service_hold_s(progress.match_.service.service_id)
+        send_delay_s = self.state.service_send_delay_s(
+            progress.match_.service.service_id
+        )
         due_at = answer_due_at(progress.deadline_)
-        return hold_s > 0.0 and self.state.now() + hold_s >= due_at
+        return send_delay_s > 0.0 and self.state.now() + send_delay_s >= due_at
 
     def _end_out_of_time(self) -> None:
         """End a request that is past its deadline or that a planned stop cuts short."""
@@ -215,7 +217,9 @@
                 caller_timeout_s=None
                 if caller_timeout_ms is None
                 else caller_timeout_ms / 1_000.0,
-                endpoint_wait_s=self.state.service_hold_s(match.service.service_id),
+                endpoint_wait_s=self.state.service_send_delay_s(
+                    match.service.service_id
+                ),
             )
         )
         if decision.is_caller_retry:
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_calls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_calls.py
@@ -84,7 +84,7 @@
         limit_s = call_limit_s(
             call.limits,
             len(call.tasks),
-            calls_ahead=record.waiting_elsewhere(call.began_at),
+            calls_ahead=record.other_load(call.began_at),
             slowness=record.slowness(call.began_at),
         )
         try:
@@ -110,7 +110,7 @@
             # The endpoint became unusable while this call waited for a connection.
             state.pool_.release(record, connection)
             return CallEnd(None, PieceFailure.NO_ENDPOINT.value)
-        if state.hold_s(record) > 0.0:
+        if state.send_delay_s(record) > 0.0:
             state.pool_.release(record, connection)
             return CallEnd(None, PieceFailure.FULL.value)
         state.record_sent(record)
@@ -137,7 +137,7 @@
             return CallEnd(None, f"status {head.status}")
         read = state.codec.read_pieces(body)
         if isinstance(read, Failure) or len(read.unwrap()) != len(call.tasks):
-            record.record_failure(now, EndpointFailure.SPOILED)
+            record.record_failure(now, EndpointFailure.INVALID_ANSWER)
             return CallEnd(None, CALL_INVALID_ANSWER)
         record.record_success((now - call.began_at) * 1_000.0)
         record.record_slowness(call.duration_ratio(now), now)
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_free.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_free.py
@@ -69,9 +69,9 @@
         """
         if self.state.roster_.halls_.is_evacuated(record.listed.hall):
             return True
-        if self.state.hold_s(record) > 0.0:
+        if self.state.send_delay_s(record) > 0.0:
             return True
-        return self.state.limits_.is_limited(record.listed.endpoint_id)
+        return self.state.endpoint_limits_.is_limited(record.listed.endpoint_id)
 
     async def _free(
         self, service: Service, record: EndpointRecord, handles: list[ResultHandle]
@@ -95,4 +95,4 @@
         if capacity is not None:
             for handle in handles:
                 capacity.free(handle)
-        self.on_free(state.groups_.group(service.service_id, record.listed.hall))
+        self.on_free(state.group_map_.group(service.service_id, record.listed.hall))
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_groups.py
@@ -61,14 +61,14 @@
         for record in self.state.usable(stage.service_id):
             if record.listed.endpoint_id in excluded or record.is_suspect(now):
                 continue
-            group = self.state.groups_.group(stage.service_id, record.listed.hall)
+            group = self.state.group_map_.group(stage.service_id, record.listed.hall)
             counts[group] = counts.get(group, 0) + 1
             near_bytes = local_bytes_by_hall.get(record.listed.hall, 0)
             near_bytes_by_group[group] = max(
                 near_bytes_by_group.get(group, 0), near_bytes
             )
         if not counts:
-            counts = self.state.groups_.usable_by_group(stage.service_id, now)
+            counts = self.state.group_map_.usable_by_group(stage.service_id, now)
         self._refresh_own_loads(counts)
         max_near_bytes = max(local_bytes_by_hall.values(), default=0)
         return self.loads_.choose(
@@ -84,7 +84,7 @@
 
     def wait_s(self, group: GroupId, limits: PieceLimits, now: float) -> float:
         """Return how long a piece sent now is expected to wait for its call."""
-        endpoints = self.state.groups_.usable_by_group(group.service_id, now)
+        endpoints = self.state.group_map_.usable_by_group(group.service_id, now)
         return self.loads_.wait_s(group, limits, endpoints.get(group, 1), now)
 
     def remaining_s(self, graph: PieceGraph) -> float:
@@ -106,7 +106,7 @@
         self, service_id: ServiceId, limits: PieceLimits, now: float
     ) -> float:
         """Return the shortest expected wait among the groups of a service."""
-        counts_by_group = self.state.groups_.usable_by_group(service_id, now)
+        counts_by_group = self.state.group_map_.usable_by_group(service_id, now)
         waits = [
             self.loads_.wait_s(group, limits, count, now)
             for group, count in counts_by_group.items()
@@ -129,13 +129,13 @@
         if service is None or service.pieces is None:
             return {}
         now = self.state.now()
-        counts_by_group = self.state.groups_.usable_by_group(stage.service_id, now)
+        counts_by_group = self.state.group_map_.usable_by_group(stage.service_id, now)
         self._refresh_own_loads(counts_by_group)
         wait_ms_by_group = {
             group: self.loads_.wait_s(group, service.pieces, count, now) * 1_000.0
             for group, count in counts_by_group.items()
         }
-        groups = self.state.groups_.groups(stage.service_id)
+        groups = self.state.group_map_.groups(stage.service_id)
         return {
             hall: wait_ms_by_group[group]
             for hall, group in groups.items()
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
@@ -55,7 +55,7 @@
                 continue
             listed = record.listed
             if scheduled_by_others(
-                self.state.groups_.group(listed.service_id, listed.hall)
+                self.state.group_map_.group(listed.service_id, listed.hall)
             ):
                 found.append(use)
         return found
@@ -65,5 +65,6 @@
         return [
             record
             for record in self.state.usable(group.service_id)
-            if self.state.groups_.group(group.service_id, record.listed.hall) == group
+            if self.state.group_map_.group(group.service_id, record.listed.hall)
+            == group
         ]
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_scheduler.py
@@ -199,10 +199,10 @@
     ) -> None:
         """Pause endpoints that asked for fewer requests until they take one."""
         for record in records:
-            hold_s = self.state.hold_s(record)
-            if hold_s > 0.0:
+            send_delay_s = self.state.send_delay_s(record)
+            if send_delay_s > 0.0:
                 endpoint_id = record.listed.endpoint_id
-                self.capacities_.capacity(endpoint_id, limits).pause(hold_s, now)
+                self.capacities_.capacity(endpoint_id, limits).pause(send_delay_s, now)
 
     def _wake_group(self, group: GroupId) -> None:
         if group in self.queues_by_group_:
@@ -223,7 +223,7 @@
         capacity = self.capacities_.capacity(
             call.record.listed.endpoint_id, call.limits
         )
-        is_idle = capacity.calls_ == 0 and call.record.is_surely_idle(call.began_at)
+        is_idle = capacity.calls_ == 0 and call.record.is_reported_idle(call.began_at)
         capacity.begin(len(call.tasks), call.result_bytes, call.began_at)
         call.record.in_flight_ += 1
         self.calls_under_way_ += 1
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_connection.py
@@ -73,7 +73,7 @@
     def __init__(self, *, stream: WatchedStream, codec: RequestCodec) -> None:
         self.stream = stream
         self.codec = codec
-        self.keep_alive_s_: float | None = None
+        self.idle_timeout_s_: float | None = None
         self.idle_since_ = 0.0
         self.answer_: LiveAnswer | None = None
 
@@ -134,8 +134,8 @@
     ) -> LiveAnswer:
         """Send a request and return its answer once the head has arrived.
 
-        Errors: raises ExchangeBroken when the request may have run, with SPOILED when
-        only answers to other requests arrived, otherwise with LOST.
+        Errors: raises ExchangeBroken when the request may have run, with INVALID_ANSWER
+        when only answers to other requests arrived, otherwise with LOST.
         """
         self.stream.is_idle_ = False
         exchange = self._send(request)
@@ -150,7 +150,7 @@
             await answer.reading
             if not answer.reader.is_complete_ or not answer.reader.is_framed_:
                 break
-        raise ExchangeBroken(BreakKind.SPOILED, "answers of other requests only")
+        raise ExchangeBroken(BreakKind.INVALID_ANSWER, "answers of other requests only")
 
     async def fetch(
         self, request: OutboundRequest, request_id: RequestId | None = None
@@ -225,8 +225,8 @@
                 answer.reading.cancel()
             self.close()
             return False
-        if answer.head.rest_s is not None:
-            self.keep_alive_s_ = answer.head.rest_s
+        if answer.head.idle_timeout_s is not None:
+            self.idle_timeout_s_ = answer.head.idle_timeout_s
         return True
 
     def _is_reusable(self, answer: LiveAnswer) -> bool:
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_pool.py
@@ -11,7 +11,7 @@
 from leadford.forwarding.endpoints import (
     EndpointAddress,
     EndpointRecord,
-    connections_allowed,
+    max_connections,
     may_use_again,
 )
 from leadford_server.forwarding._contract import RequestCodec
@@ -56,7 +56,7 @@
             kept = self._take_idle(connections)
             if kept is not None:
                 return kept
-            allowed = connections_allowed(connections_max, self.entry_count_)
+            allowed = max_connections(connections_max, self.entry_count_)
             if connections.open_count_ < allowed:
                 return await self._open(connections)
             waiter = self.loop.create_future()
@@ -141,4 +141,4 @@
 
 def _is_fresh(connection: EndpointConnection, now: float) -> bool:
     """Return whether a connection was idle for less time than its endpoint allows."""
-    return may_use_again(now - connection.idle_since_, connection.keep_alive_s_)
+    return may_use_again(now - connection.idle_since_, connection.idle_timeout_s_)
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_reader.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_reader.py
@@ -17,12 +17,13 @@
     """List how far a failed exchange may have progressed.
 
     NOT_SENT: no connection was made. LOST: the request may have run, but no complete
-    answer arrived in time. SPOILED: the answer is invalid or answers another request.
+    answer arrived in time. INVALID_ANSWER: the answer is invalid or answers another
+    request.
     """
 
     NOT_SENT = "not-sent"
     LOST = "lost"
-    SPOILED = "spoiled"
+    INVALID_ANSWER = "spoiled"
 
 
 class ExchangeBroken(Exception):
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
@@ -105,7 +105,7 @@
             connection = await endpoint.connect()
             with pytest.raises(ExchangeBroken) as broken:
                 await connection.fetch(REQUEST, ID)
-            assert broken.value.kind is BreakKind.SPOILED
+            assert broken.value.kind is BreakKind.INVALID_ANSWER
 
     run(scenario())
 
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_fleet.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_fleet.py
@@ -65,7 +65,7 @@
         for service in self._services():
             if service.pieces is None:
                 continue
-            found.update(self.state.groups_.usable_by_group(service.service_id, now))
+            found.update(self.state.group_map_.usable_by_group(service.service_id, now))
         return found
 
     def engine_groups(self) -> set[GroupId]:
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
@@ -21,7 +21,7 @@
     PlaceId,
     ThroughputRate,
 )
-from leadford.forwarding.endpoints import KnownLimit
+from leadford.forwarding.endpoints import LimitObservation
 from leadford.forwarding.membership import HeartbeatNews, is_due
 from leadford.forwarding.routes import ServiceId
 from leadford.protocol import (
@@ -257,7 +257,7 @@
                 NO_LIMIT_PER_S if limit.per_s is None else limit.per_s,
                 round((now - limit.known_at) * 1_000.0, 1),
             )
-            for limit in self.state.limits_.known(now)
+            for limit in self.state.endpoint_limits_.reportable(now)
         ]
         return LimitNews(reports) if reports else None
 
@@ -265,8 +265,8 @@
         """Record the rate limits of endpoints that another entry knows."""
         now = self.state.now()
         for report in message.limits:
-            self.state.limits_.record_report(
-                KnownLimit(
+            self.state.endpoint_limits_.record_report(
+                LimitObservation(
                     EndpointId(report.endpoint_id),
                     None if report.per_s < 0.0 else report.per_s,
                     now - report.age_ms / 1_000.0,
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_placing.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_placing.py
@@ -12,7 +12,7 @@
 from leadford.common import EndpointId, EntryId, HallId
 from leadford.forwarding.batching import GroupId
 from leadford.forwarding.endpoints import (
-    PLACED_IN_S,
+    PLACEMENT_TIMEOUT_S,
     EndpointRecord,
     PlacedId,
     PlacedPrompts,
@@ -68,7 +68,7 @@
             PromptRead: self._on_read,
         }
 
-    def takes(self, service: Service) -> bool:
+    def places_service(self, service: Service) -> bool:
         """Return whether one entry chooses the endpoints of a service for all.
 
         Where endpoints may be cold, each entry still says which of them it may use.
@@ -79,7 +79,7 @@
             return True
         return self.all_know(SharedRule.COLD_ENGINES_PLACED)
 
-    def knows_all(self, service_id: ServiceId, prompt: PromptShape) -> bool:
+    def places_for_all(self, service_id: ServiceId, prompt: PromptShape) -> bool:
         """Return whether this entry places all prompts of the group of this one."""
         group = self.group_of(service_id, prompt.pool_key)
         return group is not None and self.placer_of(group) == self.state.entry_id
@@ -130,7 +130,7 @@
         answer = self.state.loop.create_future()
         self.answers_by_id_[ask_id] = answer
         try:
-            return await asyncio.wait_for(answer, PLACED_IN_S)
+            return await asyncio.wait_for(answer, PLACEMENT_TIMEOUT_S)
         except TimeoutError:
             self._send_read(placer, ask_id)
             return None
@@ -169,7 +169,7 @@
             bytes_by_hall={
                 HallId(hall): count for hall, count in message.bytes_by_hall.items()
             },
-            knows_all=True,
+            places_for_all=True,
             now=self.state.now(),
         )
 
@@ -180,7 +180,7 @@
 
     def _on_read(self, peer: PeerConnection, message: PromptRead) -> None:
         placed_id = PlacedId(EntryId(peer.info.peer_id), message.ask_id)
-        self.placed.record_read(placed_id)
+        self.placed.record_prefilled(placed_id)
 
 
 def _prompt_shape(message: PlaceRequest) -> PromptShape:
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_news.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_news.py
@@ -149,7 +149,7 @@
         slots=4,
         revision=9,
     )
-    sender.state.roster_.put(endpoint)
+    sender.state.roster_.record_listed(endpoint)
     learned = []
     receiver.on_listing = lambda listed, revision: learned.append((listed, revision))
     sent = []
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
@@ -53,7 +53,7 @@
 _FAILURE_BY_BREAK = {
     BreakKind.NOT_SENT: EndpointFailure.LOST,
     BreakKind.LOST: EndpointFailure.LOST,
-    BreakKind.SPOILED: EndpointFailure.SPOILED,
+    BreakKind.INVALID_ANSWER: EndpointFailure.INVALID_ANSWER,
 }
 
 
@@ -69,7 +69,7 @@
         self.choice = EndpointChoice(state=state, inputs=inputs, progress=progress)
         self.evidence = EndpointEvidence(state=state, progress=progress)
         self.sent_prompt_: SentPrompt | None = None
-        # Whether the current attempt is counted in `suspects_in_flight_`.
+        # Whether the current attempt is counted in `suspect_requests_in_flight_`.
         self.is_suspect_ = False
 
     def choose(self) -> EndpointRecord | None:
@@ -156,7 +156,7 @@
 
     def _may_send(self, record: EndpointRecord) -> bool:
         """Return whether an endpoint that was chosen before still takes a request."""
-        return self.state.is_usable(record) and self.state.hold_s(record) <= 0.0
+        return self.state.is_usable(record) and self.state.send_delay_s(record) <= 0.0
 
     @property
     def is_quarantined(self) -> bool:
@@ -188,7 +188,7 @@
         decision = decide_retry(
             failed,
             has_other_endpoint=lambda: self.choose() is not None,
-            budget=self.state.budgets_.budget(match.service.service_id),
+            budget=self.state.retry_budgets_.budget(match.service.service_id),
         )
         progress.retry_reason_ = decision.reason
         if decision.reason is RetryReason.ALLOWED:
@@ -220,9 +220,9 @@
         """Record that the engine has read the prompt, or that the attempt is over."""
         sent = self.sent_prompt_
         if sent is not None:
-            self.state.engines_.record_started(sent)
+            self.state.engines_.record_prefilled(sent)
             self.sent_prompt_ = None
-        self.choice.tell_read()
+        self.choice.report_prefilled()
 
     def _count_begin(self, record: EndpointRecord) -> float:
         """Count an attempt that starts now, and return the current time."""
@@ -231,9 +231,9 @@
         began_at = self.state.now()
         record.in_flight_ += 1
         self.is_suspect_ = self.choice.runs_apart
-        record.suspects_in_flight_ += self.is_suspect_
+        record.suspect_requests_in_flight_ += self.is_suspect_
         service = self.progress.match_.service
-        self.state.cold_.record_sent(record, service.cold_limits, began_at)
+        self.state.cold_endpoints_.record_sent(record, service.cold_limits, began_at)
         engine = service.engine
         if engine is not None:
             self.sent_prompt_ = self.state.engines_.record_sent(
@@ -245,7 +245,7 @@
         """Remove an attempt that has ended from the counts."""
         self.record_prompt_read()
         record.in_flight_ -= 1
-        record.suspects_in_flight_ -= self.is_suspect_
+        record.suspect_requests_in_flight_ -= self.is_suspect_
 
     async def _send(
         self, record: EndpointRecord, connection: EndpointConnection, limit_at: float
@@ -284,7 +284,7 @@
         record_head(self.state, record, head, sent_at=attempt.began_at)
         if head.fault:
             self.release(attempt)
-            raise ExchangeBroken(BreakKind.SPOILED, head.fault)
+            raise ExchangeBroken(BreakKind.INVALID_ANSWER, head.fault)
         if head.not_run is None:
             return
         try:
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
@@ -30,7 +30,7 @@
         self.state = state
         self.inputs = inputs
         self.progress = progress
-        self.tell_read_: Callable[[], None] | None = None
+        self.report_prefilled_: Callable[[], None] | None = None
 
     def choose(self) -> EndpointRecord | None:
         """Return the endpoint that this entry chooses for another attempt."""
@@ -47,7 +47,7 @@
                 self.progress.request.prompt,
                 excluded=tried,
                 bytes_by_hall=self.inputs.bytes_by_hall(),
-                knows_all=self._places_for_all(),
+                places_for_all=self._places_for_all(),
                 now=now,
             )
         return state.chooser_.choose(records, excluded=tried, now=now)
@@ -87,7 +87,7 @@
         trusted = [record for record in untried if not record.is_suspect(now)]
         by_id = {record.listed.endpoint_id: record for record in trusted or untried}
         suspects_by_id = {
-            endpoint_id: record.suspects_in_flight_
+            endpoint_id: record.suspect_requests_in_flight_
             for endpoint_id, record in by_id.items()
         }
         chosen_id = choose_apart(suspects_by_id, self.state.random)
@@ -97,9 +97,9 @@
         """Return whether this entry places the prompts of all entries."""
         placing = self.state.placing_
         service = self.progress.match_.service
-        if placing is None or not placing.takes(service):
+        if placing is None or not placing.places_service(service):
             return False
-        return placing.knows_all(service.service_id, self.progress.request.prompt)
+        return placing.places_for_all(service.service_id, self.progress.request.prompt)
 
     def _is_placed_elsewhere(self) -> bool:
         """Return whether another entry chooses the endpoint.
@@ -110,7 +110,8 @@
         if placing is None or self.runs_apart:
             return False
         return (
-            placing.takes(self.progress.match_.service) and not self._places_for_all()
+            placing.places_service(self.progress.match_.service)
+            and not self._places_for_all()
         )
 
     async def choose_by(self, wait_until: float) -> EndpointRecord | None:
@@ -125,10 +126,10 @@
             record = await self.choose_placed()
             if record is not None:
                 return record
-            hold_s = self.state.service_hold_s(service_id)
-            if hold_s <= 0.0 or self.state.now() + hold_s > wait_until:
+            send_delay_s = self.state.service_send_delay_s(service_id)
+            if send_delay_s <= 0.0 or self.state.now() + send_delay_s > wait_until:
                 return None
-            await asyncio.sleep(min(hold_s, HELD_POLL_INTERVAL_S))
+            await asyncio.sleep(min(send_delay_s, HELD_POLL_INTERVAL_S))
 
     async def choose_placed(self) -> EndpointRecord | None:
         """Return the endpoint to use, chosen by the placing entry if there is one."""
@@ -144,9 +145,9 @@
             return self.choose()
         if not self._may_use(placed.record):
             # The endpoint reached its limit while the answer was under way.
-            placed.tell_read()
+            placed.report_prefilled()
             return self.choose()
-        self.tell_read_ = placed.tell_read
+        self.report_prefilled_ = placed.report_prefilled
         return placed.record
 
     def _excluded_from_placement(self) -> set[EndpointId]:
@@ -164,13 +165,13 @@
         A cold or rate-limited endpoint accepts it only while this entry has not used up
         its share of the limit.
         """
-        if self.state.hold_s(record) > 0.0:
+        if self.state.send_delay_s(record) > 0.0:
             return False
         limits = self.progress.match_.service.cold_limits
-        return self.state.cold_.may_use(record, limits, self.state.now())
+        return self.state.cold_endpoints_.may_use(record, limits, self.state.now())
 
-    def tell_read(self) -> None:
+    def report_prefilled(self) -> None:
         """Notify the placing entry that the prompt no longer waits at its engine."""
-        if self.tell_read_ is not None:
-            self.tell_read_()
-            self.tell_read_ = None
+        if self.report_prefilled_ is not None:
+            self.report_prefilled_()
+            self.report_prefilled_ = None
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_evidence.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_evidence.py
@@ -42,7 +42,7 @@
                 Event.ENDPOINT_EJECTED,
                 endpoint=record.listed.endpoint_id,
                 service=record.listed.service_id,
-                failures=record.failures_in_a_row_,
+                failures=record.consecutive_failures_,
                 request=self.progress.request.request_id,
             )
 
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
@@ -72,7 +72,7 @@
     def expire(self) -> None:
         """Give back halls whose evacuation a restored store has lost for good."""
         self._apply_changes(
-            self.state.roster_.halls_.expire(self.state.now()), FROM_STORE
+            self.state.roster_.halls_.end_lost_evacuations(self.state.now()), FROM_STORE
         )
 
     def learn(
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_listing.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_listing.py
@@ -53,7 +53,7 @@
             )
             self._log(changes)
             return
-        self._log(roster.put(endpoint))
+        self._log(roster.record_listed(endpoint))
         self._record_cold(endpoint)
 
     def on_confirmed(self) -> None:
--- a/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
@@ -98,7 +98,7 @@
             now=asyncio.get_running_loop().time,
             hall=HallId("h"),
             config_version=lambda: 0,
-            roster_=EndpointRoster(trusted_s=1.1),
+            roster_=EndpointRoster(removed_grace_s=1.1),
             epochs_=StoreEpochs(),
             log=self.log_,
         )
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_backpressure.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_backpressure.py
@@ -52,7 +52,7 @@
 
 
 def limits_of(entry, endpoint):
-    return entry.state_.limits_.is_limited(endpoint.endpoint_id)
+    return entry.state_.endpoint_limits_.is_limited(endpoint.endpoint_id)
 
 
 async def until_known(deployment, path, limited):
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_endpoints_at_rest.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_endpoints_at_rest.py
@@ -42,8 +42,8 @@
 
 async def until_rest(deployment, path, endpoints):
     """Send requests until endpoints have asked for rest; return when it is over."""
-    rests = deployment.entries_[0].state_.rests_
-    while not all(rests.left_s(e.endpoint_id, now()) > 0.0 for e in endpoints):
+    rests = deployment.entries_[0].state_.endpoint_retry_after_
+    while not all(rests.wait_s(e.endpoint_id, now()) > 0.0 for e in endpoints):
         await press(deployment, path, requests=2, each_s=0.05)
     return min(rests.until_by_id_[e.endpoint_id] for e in endpoints)
 
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
@@ -35,7 +35,7 @@
             entry = await deployment.restart_entry(number)
             assert not entry.is_ready
             await deployment.until(lambda entry=entry: entry.is_ready)
-            assert entry.state_.budgets_.entry_count_ == 3
+            assert entry.state_.retry_budgets_.entry_count_ == 3
             answer = await deployment.send("/safe/x", request_id="a", entry=number)
             assert answer.code == 200
 
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
@@ -24,7 +24,7 @@
     (number,) = [
         number
         for number, entry in enumerate(deployment.entries_)
-        if entry.links_.placing.knows_all(ENGINE, PROMPT)
+        if entry.links_.placing.places_for_all(ENGINE, PROMPT)
     ]
     return number
 
@@ -36,7 +36,7 @@
         placers = [
             number
             for number, entry in enumerate(deployment.entries_)
-            if entry.links_.placing.knows_all(ENGINE, PROMPT)
+            if entry.links_.placing.places_for_all(ENGINE, PROMPT)
         ]
         if len(placers) != 1:
             return False
@@ -177,7 +177,7 @@
         old, asking = [n for n in range(ENTRIES) if n != number][:2]
         entry = deployment.entries_[asking]
         service = entry.state_.service(ENGINE)
-        takes = entry.links_.placing.takes
+        takes = entry.links_.placing.places_service
         await deployment.until(lambda: takes(service))
         # What the placing entry hears on its link to an older build.
         hub = deployment.entries_[number].links_
@@ -202,7 +202,7 @@
         await let_engines_be_cold(deployment, 9.0)
         entry = deployment.entries_[0]
         service = entry.state_.service(ENGINE)
-        takes = entry.links_.placing.takes
+        takes = entry.links_.placing.places_service
         await deployment.until(lambda: takes(service))
         # Entries that dialled each other at once hold two links; the first one ends.
         links = entry.links_
--- a/packages/leadford/src/leadford/forwarding/batching/_capacity.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_capacity.py
@@ -134,7 +134,7 @@
         capacity = self.capacity(record.listed.endpoint_id, limits)
         duration_s = self._duration_s(record, limits, pieces, now)
         wait_s = max(0.0, capacity.busy_until_ - now) if capacity.calls_ else 0.0
-        wait_s += record.waiting_elsewhere(now) * duration_s
+        wait_s += record.other_load(now) * duration_s
         wait_s = max(wait_s, capacity.paused_until_ - now)
         return wait_s + duration_s
 
--- a/packages/leadford/src/leadford/forwarding/batching/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/batching/_limits.py
@@ -74,4 +74,4 @@
     load = record.load_
     if load is None or load.waiting > 0:
         return False
-    return record.waiting_elsewhere(now) + record.in_flight_ <= load.slots
+    return record.other_load(now) + record.in_flight_ <= load.slots
--- a/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/__init__.py
@@ -4,7 +4,7 @@
 from leadford.forwarding.endpoints._choice import ChoicePolicy, EndpointChooser
 from leadford.forwarding.endpoints._cold import ColdEndpoints
 from leadford.forwarding.endpoints._connections import (
-    connections_allowed,
+    max_connections,
     may_use_again,
 )
 from leadford.forwarding.endpoints._engines import (
@@ -12,7 +12,7 @@
     SentPrompt,
 )
 from leadford.forwarding.endpoints._halls import EvacuatedHalls, HallNotice
-from leadford.forwarding.endpoints._limits import EndpointLimits, KnownLimit
+from leadford.forwarding.endpoints._limits import EndpointLimits, LimitObservation
 from leadford.forwarding.endpoints._model import (
     Backpressure,
     EndpointAddress,
@@ -21,21 +21,21 @@
     ReportedLoad,
 )
 from leadford.forwarding.endpoints._placement import (
-    PLACED_IN_S,
+    PLACEMENT_TIMEOUT_S,
     PlacedId,
     PlacedPrompts,
 )
 from leadford.forwarding.endpoints._pools import pool_count, prompt_pool
 from leadford.forwarding.endpoints._prompts import PromptPart, PromptShape
 from leadford.forwarding.endpoints._record import EndpointFailure, EndpointRecord
-from leadford.forwarding.endpoints._rests import EndpointRests
+from leadford.forwarding.endpoints._rests import EndpointRetryAfter
 from leadford.forwarding.endpoints._roster import EndpointRoster, RosterChange
-from leadford.forwarding.endpoints._starts import instance_name, start_id
+from leadford.forwarding.endpoints._starts import endpoint_name, endpoint_start_id
 from leadford.forwarding.endpoints._times import FirstByteTimes
 
 __all__ = [
-    "instance_name",
-    "start_id",
+    "endpoint_name",
+    "endpoint_start_id",
     "Backpressure",
     "ChoicePolicy",
     "ColdEndpoints",
@@ -44,14 +44,14 @@
     "EndpointFailure",
     "EndpointLimits",
     "EndpointRecord",
-    "EndpointRests",
+    "EndpointRetryAfter",
     "EndpointRoster",
     "EngineChooser",
     "EvacuatedHalls",
     "FirstByteTimes",
     "HallNotice",
-    "KnownLimit",
-    "PLACED_IN_S",
+    "LimitObservation",
+    "PLACEMENT_TIMEOUT_S",
     "PlacedId",
     "PlacedPrompts",
     "SentPrompt",
@@ -61,7 +61,7 @@
     "PromptShape",
     "ReportedLoad",
     "RosterChange",
-    "connections_allowed",
+    "max_connections",
     "may_use_again",
     "pool_count",
     "is_dialable",
--- a/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_choice.py
@@ -85,7 +85,7 @@
     def score(self, record: EndpointRecord, *, now: float) -> float:
         """Return the cost of an endpoint, without the cost of its slowness."""
         policy = self.policy
-        work = record.in_flight_ + record.waiting_elsewhere(now)
+        work = record.in_flight_ + record.other_load(now)
         score = work / max(1, record.listed.slots)
         score += policy.failure_cost * record.failure_rate_.value_
         if record.listed.hall != self.hall:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_connections.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_connections.py
@@ -14,7 +14,7 @@
 IDLE_TIMEOUT_MARGIN_S = 0.6
 
 
-def connections_allowed(connections_max: int, entry_count: int) -> int:
+def max_connections(connections_max: int, entry_count: int) -> int:
     """Return the maximum number of connections of one entry to an endpoint."""
     bound = int(connections_max * CONNECTIONS_FRACTION)
     return max(1, bound // max(1, entry_count))
--- a/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_engines.py
@@ -96,13 +96,13 @@
         excluded: Collection[EndpointId] = (),
         bytes_by_hall: dict[HallId, int] | None = None,
         extra_ms_by_hall: dict[HallId, float] | None = None,
-        knows_all: bool = False,
+        places_for_all: bool = False,
         now: float,
     ) -> EndpointRecord | None:
         """Return the engine with the lowest expected cost.
 
         Suspect engines are considered only when no other candidate is left. With
-        `knows_all`, this entry sends or places every prompt, so an engine caches
+        `places_for_all`, this entry sends or places every prompt, so an engine caches
         nothing that this entry has not seen it prefill.
 
         Units: extra_ms_by_hall is the additional cost of a hall for other reasons.
@@ -119,7 +119,7 @@
                     record,
                     shape,
                     affinity=affinity,
-                    knows_all=knows_all,
+                    places_for_all=places_for_all,
                     now=now,
                 )
                 + self._transfer_ms(record, bytes_by_hall)
@@ -183,25 +183,25 @@
         shape: PromptShape,
         *,
         affinity: Sequence[EndpointId],
-        knows_all: bool = False,
+        places_for_all: bool = False,
         now: float,
     ) -> float:
         """Return the expected time to the first token, plus the costs of an engine."""
         endpoint_id = record.listed.endpoint_id
-        cached = self._cached_tokens(record, shape, () if knows_all else affinity)
+        cached = self._cached_tokens(record, shape, () if places_for_all else affinity)
         tokens = shape.tokens_in - cached
         tokens += self.pending_by_id_.get(record.listed.endpoint_id, 0.0)
         if record.load_ is not None:
-            elsewhere = min(record.load_.waiting, record.waiting_elsewhere(now))
+            elsewhere = min(record.load_.waiting, record.other_load(now))
             tokens += elsewhere * MEAN_PROMPT_TOKENS
         expected = tokens / self.tokens_per_ms_.value_
-        running = record.in_flight_ + record.waiting_elsewhere(now)
+        running = record.in_flight_ + record.other_load(now)
         expected += running * RUNNING_REQUEST_MS
         expected += record.failure_rate_.value_ * FAILURE_RATE_MS
         if affinity and endpoint_id != affinity[0]:
             expected += NOT_PREFERRED_MS
         if (
-            knows_all
+            places_for_all
             and self.pending_by_id_.get(endpoint_id, 0.0) >= LONG_PREFILL_TOKENS
         ):
             expected += LONG_PREFILL_MS
@@ -226,7 +226,7 @@
     ) -> SentPrompt:
         """Count a prompt that is sent to an engine.
 
-        The result is passed to `record_started` when the prefill or the attempt ends.
+        The result is passed to `record_prefilled` when the prefill or the attempt ends.
         """
         endpoint_id = record.listed.endpoint_id
         cached = self.cached_by_id_.setdefault(endpoint_id, CachedParts())
@@ -237,7 +237,7 @@
         self.pending_by_id_[endpoint_id] = pending + tokens
         return SentPrompt(endpoint_id, tokens)
 
-    def record_started(self, sent: SentPrompt) -> None:
+    def record_prefilled(self, sent: SentPrompt) -> None:
         """Record that the prefill of a prompt, or its attempt, has ended."""
         remaining = self.pending_by_id_.get(sent.endpoint_id, 0.0) - sent.prefill_tokens
         if remaining > 0.0:
--- a/packages/leadford/src/leadford/forwarding/endpoints/_halls.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_halls.py
@@ -104,7 +104,7 @@
         self.is_known_ = True
         return [notice for notice in listed if self.record(notice)]
 
-    def expire(self, now: float) -> list[HallNotice]:
+    def end_lost_evacuations(self, now: float) -> list[HallNotice]:
         """End the evacuations that were not written again in time; return them."""
         ended = [
             HallNotice(hall, lost.position.revision, False, lost.position.epoch)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_limits.py
@@ -33,7 +33,7 @@
 ENDED_REPORT_S = 10.0
 
 
-class KnownLimit(msgspec.Struct, frozen=True):
+class LimitObservation(msgspec.Struct, frozen=True):
     """Hold what is known of an endpoint's limit, and when this was true.
 
     Units: per_s in requests per second, None where the limit has ended; known_at in
@@ -53,7 +53,7 @@
         self.entry_ids_: tuple[EntryId, ...] = (entry_id,)
         # How many entries share the limit, this one included; 0 if it has no share.
         self.sharers_by_id_: dict[EndpointId, int] = {}
-        self.known_by_id_: dict[EndpointId, KnownLimit] = {}
+        self.known_by_id_: dict[EndpointId, LimitObservation] = {}
         self.bucket_by_id_: dict[EndpointId, TokenBucket] = {}
         # When this entry last sent a request to an endpoint without having a share.
         self.probed_at_by_id_: dict[EndpointId, float] = {}
@@ -78,11 +78,11 @@
         """
         known = self.known_by_id_.get(endpoint_id)
         if per_s is not None:
-            self.known_by_id_[endpoint_id] = KnownLimit(endpoint_id, per_s, now)
+            self.known_by_id_[endpoint_id] = LimitObservation(endpoint_id, per_s, now)
         elif known is not None and sent_at > known.known_at:
-            self._end(KnownLimit(endpoint_id, None, sent_at))
+            self._end(LimitObservation(endpoint_id, None, sent_at))
 
-    def record_report(self, heard: KnownLimit) -> None:
+    def record_report(self, heard: LimitObservation) -> None:
         """Record what another entry reports, unless this one knows something newer."""
         known = self.known_by_id_.get(heard.endpoint_id)
         if known is not None:
@@ -96,7 +96,7 @@
         elif known is not None:
             self._end(heard)
 
-    def known(self, now: float) -> list[KnownLimit]:
+    def reportable(self, now: float) -> list[LimitObservation]:
         """Return what to report to other entries: limits, and those that just ended."""
         for limit in list(self.known_by_id_.values()):
             if limit.per_s is None and now - limit.known_at > ENDED_REPORT_S:
@@ -109,29 +109,29 @@
         return known is not None and known.per_s is not None
 
     def wait_s(
-        self, endpoint_id: EndpointId, now: float, *, is_alone: bool = False
+        self, endpoint_id: EndpointId, now: float, *, is_sole_sender: bool = False
     ) -> float:
         """Return the seconds until another request may be sent to an endpoint.
 
-        `is_alone` says that only this entry sends requests to it.
+        `is_sole_sender` says that only this entry sends requests to it.
         """
         known = self.known_by_id_.get(endpoint_id)
         if known is None or known.per_s is None:
             return 0.0
-        bucket = self._bucket(known, now, is_alone=is_alone)
+        bucket = self._bucket(known, now, is_sole_sender=is_sole_sender)
         if bucket is None:
             probed_at = self.probed_at_by_id_.get(endpoint_id, known.known_at)
             return max(0.0, max(known.known_at, probed_at) + UNREPORTED_LIMIT_S - now)
         return bucket.wait_s(now)
 
     def record_sent(
-        self, endpoint_id: EndpointId, now: float, *, is_alone: bool = False
+        self, endpoint_id: EndpointId, now: float, *, is_sole_sender: bool = False
     ) -> None:
         """Count a request that is sent to an endpoint."""
         known = self.known_by_id_.get(endpoint_id)
         if known is None or known.per_s is None:
             return
-        bucket = self._bucket(known, now, is_alone=is_alone)
+        bucket = self._bucket(known, now, is_sole_sender=is_sole_sender)
         if bucket is not None:
             bucket.try_take(now)
         else:
@@ -147,7 +147,7 @@
             if now - self.known_by_id_[endpoint_id].known_at > UNREPORTED_LIMIT_S:
                 self._forget(endpoint_id)
 
-    def _end(self, limit: KnownLimit) -> None:
+    def _end(self, limit: LimitObservation) -> None:
         self._forget(limit.endpoint_id)
         self.known_by_id_[limit.endpoint_id] = limit
 
@@ -158,10 +158,10 @@
         self.probed_at_by_id_.pop(endpoint_id, None)
 
     def _bucket(
-        self, known: KnownLimit, now: float, *, is_alone: bool
+        self, known: LimitObservation, now: float, *, is_sole_sender: bool
     ) -> TokenBucket | None:
         """Return the bucket of this entry's share of a limit, or None."""
-        sharers = 1 if is_alone else self._sharers(known.endpoint_id)
+        sharers = 1 if is_sole_sender else self._sharers(known.endpoint_id)
         if sharers == 0:
             return None
         rate_per_s = max(MIN_RATE_PER_S, known.per_s) / sharers
--- a/packages/leadford/src/leadford/forwarding/endpoints/_placement.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_placement.py
@@ -15,7 +15,7 @@
 
 # Time that an entry waits for a placement before it chooses an engine on its own: about
 # ten times as long as an answer takes within a region.
-PLACED_IN_S = 0.04
+PLACEMENT_TIMEOUT_S = 0.04
 # Time after which a placed prompt counts as prefilled without a report, because the
 # entry that requested it may be gone. Longer than the longest prefill.
 PLACED_TIMEOUT_S = 3.0
@@ -46,14 +46,14 @@
         """Record a prompt that is placed now."""
         self._forget_old(now)
         # After a restart an entry uses the same request numbers again.
-        self.record_read(placed_id)
+        self.record_prefilled(placed_id)
         self.placed_by_id_[placed_id] = _Placed(sent, now)
 
-    def record_read(self, placed_id: PlacedId) -> None:
+    def record_prefilled(self, placed_id: PlacedId) -> None:
         """Record that the prefill of a prompt has ended, or that it was not sent."""
         placed = self.placed_by_id_.pop(placed_id, None)
         if placed is not None:
-            self.engines.record_started(placed.sent)
+            self.engines.record_prefilled(placed.sent)
 
     def _forget_old(self, now: float) -> None:
         """Stop counting the prompts whose prefill was not reported in time."""
@@ -61,4 +61,4 @@
             # Prompts are kept in the order in which they were placed.
             if now - placed.placed_at < PLACED_TIMEOUT_S:
                 return
-            self.record_read(placed_id)
+            self.record_prefilled(placed_id)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_prompts.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_prompts.py
@@ -32,7 +32,7 @@
     tokens_in: int
 
     @property
-    def own_part(self) -> str:
+    def last_part_id(self) -> str:
         """Return the id of the last part, which tells the prompt from others."""
         return self.parts[-1].part_id if self.parts else ""
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/_record.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_record.py
@@ -44,7 +44,7 @@
     SILENT = "silent"
     BROKEN_OFF = "broken-off"
     SLOW = "slow"
-    SPOILED = "spoiled"
+    INVALID_ANSWER = "spoiled"
     ERROR_STATUS = "error-status"
 
 
@@ -63,8 +63,8 @@
         self.doubted_until_ = 0.0
         self.in_flight_ = 0
         # Requests in flight that ran at other endpoints when those ended.
-        self.suspects_in_flight_ = 0
-        self.failures_in_a_row_ = 0
+        self.suspect_requests_in_flight_ = 0
+        self.consecutive_failures_ = 0
         self.suspect_until_ = 0.0
         self.is_replaced_ = False
         self.cold_until_ = 0.0
@@ -126,23 +126,23 @@
 
     def record_success(self, elapsed_ms: float) -> None:
         """Record a successful answer and its latency."""
-        self.failures_in_a_row_ = 0
+        self.consecutive_failures_ = 0
         self.suspect_until_ = 0.0
         self.failure_rate_.update(0.0)
         self.latency_ms_.update(elapsed_ms)
 
     def record_failure(self, now: float, failure: EndpointFailure) -> None:
         """Record a failure, which may make the endpoint suspect."""
-        self.failures_in_a_row_ += 1
+        self.consecutive_failures_ += 1
         self.failure_rate_.update(1.0)
-        is_first = self.failures_in_a_row_ < FAILURES_FOR_SUSPICION
+        is_first = self.consecutive_failures_ < FAILURES_FOR_SUSPICION
         if is_first and failure not in SUSPECT_AT_ONCE:
             return
-        doublings = min(self.failures_in_a_row_ - 1, SUSPECT_DOUBLINGS_MAX)
+        doublings = min(self.consecutive_failures_ - 1, SUSPECT_DOUBLINGS_MAX)
         suspect_s = min(SUSPECT_MAX_S, SUSPECT_BASE_S * 2.0**doublings)
         self.suspect_until_ = max(self.suspect_until_, now + suspect_s)
 
-    def record_replaced(self) -> None:
+    def mark_replaced(self) -> None:
         """Record that another process is known to have taken over the address."""
         self.is_replaced_ = True
 
@@ -150,13 +150,13 @@
         """Tell whether the endpoint is suspect because of recent failures."""
         return now < self.suspect_until_
 
-    def is_surely_idle(self, now: float) -> bool:
+    def is_reported_idle(self, now: float) -> bool:
         """Tell whether a current load report shows no work of other processes."""
         if self.load_ is None or now - self.load_at_ > LOAD_FRESH_S:
             return False
-        return self.waiting_elsewhere(now) == 0
+        return self.other_load(now) == 0
 
-    def waiting_elsewhere(self, now: float) -> int:
+    def other_load(self, now: float) -> int:
         """Return the number of requests of other processes in a current load report."""
         if self.load_ is None or now - self.load_at_ > LOAD_FRESH_S:
             return 0
--- a/packages/leadford/src/leadford/forwarding/endpoints/_removed.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_removed.py
@@ -30,11 +30,11 @@
 class RemovedEndpoints:
     """Hold removed endpoints for as long as they may still be used.
 
-    Units: trusted_s in seconds.
+    Units: removed_grace_s in seconds.
     """
 
-    def __init__(self, *, trusted_s: float) -> None:
-        self.trusted_s = trusted_s
+    def __init__(self, *, removed_grace_s: float) -> None:
+        self.removed_grace_s = removed_grace_s
         self.by_id_: dict[EndpointId, RemovedEndpoint] = {}
 
     def add(self, record: EndpointRecord, now: float, *, is_lost: bool) -> None:
@@ -63,7 +63,7 @@
     def trusted(self, service_id: ServiceId, now: float) -> list[RemovedEndpoint]:
         """Drop expired endpoints, and return those of a service that may be used."""
         for endpoint_id, removed in list(self.by_id_.items()):
-            if now - removed.removed_at >= self.trusted_s:
+            if now - removed.removed_at >= self.removed_grace_s:
                 del self.by_id_[endpoint_id]
         return [
             removed
--- a/packages/leadford/src/leadford/forwarding/endpoints/_rests.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_rests.py
@@ -8,19 +8,19 @@
 from leadford.common import EndpointId
 
 
-class EndpointRests:
+class EndpointRetryAfter:
     """Track how much longer endpoints accept no requests from this entry."""
 
     def __init__(self) -> None:
         self.until_by_id_: dict[EndpointId, float] = {}
 
-    def record_asked(self, endpoint_id: EndpointId, until: float) -> None:
+    def record_retry_after(self, endpoint_id: EndpointId, until: float) -> None:
         """Record until when an endpoint accepts no requests; the latest applies."""
         self.until_by_id_[endpoint_id] = max(
             until, self.until_by_id_.get(endpoint_id, until)
         )
 
-    def left_s(self, endpoint_id: EndpointId, now: float) -> float:
+    def wait_s(self, endpoint_id: EndpointId, now: float) -> float:
         """Return the seconds until an endpoint accepts requests again."""
         return max(0.0, self.until_by_id_.get(endpoint_id, now) - now)
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -55,28 +55,28 @@
     with a later position reverts a mistaken removal.
 
     After an outage the store may remove endpoints that still work: when most of a
-    service is removed at once, these endpoints are used for `trusted_s`, which must be
-    shorter than the drain period of an endpoint.
+    service is removed at once, these endpoints are used for `removed_grace_s`, which
+    must be shorter than the drain period of an endpoint.
 
     A store that was restored from a copy lacks endpoints that were listed after the
     copy was made, and lists some that were removed after it. The former are also used
-    for `trusted_s`; the latter are a last resort for `expiry_s`, until the platform
-    would have removed them.
+    for `removed_grace_s`; the latter are a last resort for `expiry_s`, until the
+    platform would have removed them.
 
-    Units: trusted_s and expiry_s in seconds.
+    Units: removed_grace_s and expiry_s in seconds.
     """
 
     def __init__(
         self,
         *,
-        trusted_s: float = RELIST_TIMEOUT_S,
+        removed_grace_s: float = RELIST_TIMEOUT_S,
         expiry_s: float = EXPIRY_HEARTBEATS * DEFAULT_HEARTBEAT_S,
         halls: EvacuatedHalls | None = None,
     ) -> None:
         self.expiry_s = expiry_s
         self.halls = halls
         self.halls_ = halls or EvacuatedHalls()
-        self.removed_ = RemovedEndpoints(trusted_s=trusted_s)
+        self.removed_ = RemovedEndpoints(removed_grace_s=removed_grace_s)
         self.records_by_id_: dict[EndpointId, EndpointRecord] = {}
         self.ids_by_service_: dict[ServiceId, set[EndpointId]] = {}
         # The start that is listed under a name, or was listed last.
@@ -91,7 +91,7 @@
         self.counted_at_version_ = -1
 
     @classmethod
-    def from_bounds(
+    def from_drain_period(
         cls, drain_s: float, heartbeat_s: float, halls: EvacuatedHalls | None = None
     ) -> "EndpointRoster":
         """Return a roster for the drain period and heartbeat interval of a deployment.
@@ -101,9 +101,9 @@
 
         Units: seconds.
         """
-        trusted_s = max(0.0, min(RELIST_TIMEOUT_S, drain_s - DRAIN_MARGIN_S))
+        removed_grace_s = max(0.0, min(RELIST_TIMEOUT_S, drain_s - DRAIN_MARGIN_S))
         expiry_s = EXPIRY_HEARTBEATS * heartbeat_s
-        return cls(trusted_s=trusted_s, expiry_s=expiry_s, halls=halls)
+        return cls(removed_grace_s=removed_grace_s, expiry_s=expiry_s, halls=halls)
 
     def replace(
         self, endpoints: Iterable[ListedEndpoint], position: StorePosition, now: float
@@ -114,7 +114,7 @@
         for endpoint in endpoints:
             seen.add(endpoint.name)
             is_stale_copy = self._is_stale_copy(endpoint)
-            changes += self.put(endpoint)
+            changes += self.record_listed(endpoint)
             if is_stale_copy:
                 self._mark_doubted(endpoint.endpoint_id, now + self.expiry_s)
         names = {record.listed.name for record in self.records_by_id_.values()}
@@ -144,7 +144,7 @@
         if record is not None:
             record.doubted_until_ = until
 
-    def put(self, endpoint: ListedEndpoint) -> list[RosterChange]:
+    def record_listed(self, endpoint: ListedEndpoint) -> list[RosterChange]:
         """Record one listed endpoint, unless something newer is known of it."""
         endpoint_id = endpoint.endpoint_id
         last = self.last_by_name_.get(endpoint.name)
--- a/packages/leadford/src/leadford/forwarding/endpoints/_starts.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_starts.py
@@ -7,7 +7,7 @@
 _START = re.compile(r"@\d+$")
 
 
-def start_id(name: str, born: int | None) -> EndpointId:
+def endpoint_start_id(name: str, born: int | None) -> EndpointId:
     """Return the id of one start of an endpoint; without `born`, this is its name.
 
     Errors: raises ValueError for a name that looks like the id of a start.
@@ -17,6 +17,6 @@
     return EndpointId(name if born is None else f"{name}@{born}")
 
 
-def instance_name(endpoint_id: EndpointId) -> str:
+def endpoint_name(endpoint_id: EndpointId) -> str:
     """Return the name that an endpoint uses for itself, from the id of a start."""
     return _START.sub("", endpoint_id)
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_choice.py
@@ -65,12 +65,12 @@
 
 def test_only_a_fresh_report_shows_that_an_endpoint_is_idle():
     endpoint = record("a")
-    assert not endpoint.is_surely_idle(0.0)
+    assert not endpoint.is_reported_idle(0.0)
     endpoint.record_load(ReportedLoad(1, 0, 4), 0.0)
-    assert not endpoint.is_surely_idle(0.1)
+    assert not endpoint.is_reported_idle(0.1)
     endpoint.record_load(ReportedLoad(0, 0, 4), 0.0)
-    assert endpoint.is_surely_idle(0.1)
-    assert not endpoint.is_surely_idle(5.0)
+    assert endpoint.is_reported_idle(0.1)
+    assert not endpoint.is_reported_idle(5.0)
 
 
 def chain(template, session, own):
@@ -118,7 +118,7 @@
     sent = chooser.record_sent(chosen, prompt, 100_000)
     other = shape("one", 3_000)
     assert chooser.choose(engines, other, now=0.0) is not chosen
-    chooser.record_started(sent)
+    chooser.record_prefilled(sent)
     assert chooser.pending_by_id_ == {}
     # The parts are cached there now, so the session returns.
     assert chooser.choose(engines, prompt, now=0.0) is chosen
@@ -129,7 +129,7 @@
     engine = record("e1")
     for number in range(200):
         prompt = shape(f"s{number}", 1_000)
-        chooser.record_started(chooser.record_sent(engine, prompt, 10_000))
+        chooser.record_prefilled(chooser.record_sent(engine, prompt, 10_000))
     assert chooser.cached_by_id_["e1"].total_tokens_ <= 6_000
     chooser.retain(set())
     assert chooser.cached_by_id_ == {}
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_connections.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_connections.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from leadford.forwarding.endpoints import connections_allowed, may_use_again
+from leadford.forwarding.endpoints import max_connections, may_use_again
 
 
 @pytest.mark.parametrize(
@@ -10,7 +10,7 @@
     [(100, 1, 95), (100, 4, 23), (100, 0, 95), (3, 4, 1), (1, 1, 1)],
 )
 def test_entries_share_the_bound_of_an_endpoint(connections_max, entries, allowed):
-    assert connections_allowed(connections_max, entries) == allowed
+    assert max_connections(connections_max, entries) == allowed
 
 
 def test_a_connection_is_not_used_shortly_before_its_endpoint_closes_it():
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_halls.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_halls.py
@@ -30,7 +30,7 @@
 def roster_with_two_halls(halls=None):
     roster = EndpointRoster(halls=halls)
     for number, hall in enumerate(("h", "other")):
-        roster.put(
+        roster.record_listed(
             ListedEndpoint(
                 endpoint_id=EndpointId(hall),
                 service_id=SERVICE,
@@ -130,9 +130,9 @@
     halls.record(notice(95))
     assert halls.replace([], restored(94), 10.0) == []
     assert halls.replace([], restored(94), 12.0) == []
-    assert halls.expire(15.9) == []
+    assert halls.end_lost_evacuations(15.9) == []
     assert halls.is_evacuated(HALL)
-    assert [n.is_evacuated for n in halls.expire(16.0)] == [False]
+    assert [n.is_evacuated for n in halls.end_lost_evacuations(16.0)] == [False]
     assert not halls.is_evacuated(HALL)
 
 
@@ -141,7 +141,7 @@
     halls.record(notice(95))
     halls.replace([], restored(94), 10.0)
     halls.record(notice(97).in_epoch(StoreEpoch(1)))
-    assert halls.expire(30.0) == []
+    assert halls.end_lost_evacuations(30.0) == []
     assert halls.is_evacuated(HALL)
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_limits.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_limits.py
@@ -3,7 +3,7 @@
 import pytest
 
 from leadford.common import EndpointId, EntryId
-from leadford.forwarding.endpoints import EndpointLimits, KnownLimit
+from leadford.forwarding.endpoints import EndpointLimits, LimitObservation
 
 ID = EndpointId("e")
 # In any window of this length, an endpoint accepts one and a half times its limit, plus
@@ -27,15 +27,15 @@
         entry.record_answer(ID, per_s, sent_at=now - 0.1, now=now)
 
 
-def sent_between(entries, began_at, ends_at, *, is_alone=False):
+def sent_between(entries, began_at, ends_at, *, is_sole_sender=False):
     """Return the times of all requests if all entries send as many as they may."""
     times = []
     steps = round((ends_at - began_at) / STEP_S)
     for step in range(steps):
         now = began_at + step * STEP_S
         for entry in entries:
-            while entry.wait_s(ID, now, is_alone=is_alone) <= 0.0:
-                entry.record_sent(ID, now, is_alone=is_alone)
+            while entry.wait_s(ID, now, is_sole_sender=is_sole_sender) <= 0.0:
+                entry.record_sent(ID, now, is_sole_sender=is_sole_sender)
                 times.append(now)
     return times
 
@@ -69,7 +69,7 @@
 def test_the_one_entry_that_calls_an_endpoint_has_the_whole_rate():
     (entry, *_) = fleet(30)
     name_limit([entry], 2.0, 10.0)
-    times = sent_between([entry], 10.0, 18.0, is_alone=True)
+    times = sent_between([entry], 10.0, 18.0, is_sole_sender=True)
     assert 16 <= len(times) <= 18
 
 
@@ -105,15 +105,15 @@
 def test_entries_without_a_part_hear_of_a_limit_and_of_its_end():
     first, second = fleet(2)
     first.record_answer(ID, 1.0, sent_at=9.9, now=10.0)
-    second.record_report(*first.known(10.0))
+    second.record_report(*first.reportable(10.0))
     assert second.is_limited(ID)
     first.record_answer(ID, None, sent_at=11.0, now=11.1)
-    second.record_report(*first.known(11.2))
+    second.record_report(*first.reportable(11.2))
     assert not second.is_limited(ID)
     # A late report changes nothing that is newer.
-    second.record_report(KnownLimit(ID, 1.0, 10.5))
+    second.record_report(LimitObservation(ID, 1.0, 10.5))
     assert not second.is_limited(ID)
-    assert second.known(30.0) == []
+    assert second.reportable(30.0) == []
 
 
 def test_an_entry_without_a_part_asks_by_itself_once_nobody_tells_of_the_limit():
@@ -133,7 +133,7 @@
     assert entry.is_limited(ID)
     entry.retain([], 50.0)
     assert not entry.is_limited(ID)
-    assert entry.known(10.0) == []
+    assert entry.reportable(10.0) == []
 
 
 @pytest.mark.parametrize("travel_s", [0.01, 0.25, 0.6])
@@ -148,12 +148,12 @@
     name_limit(entries[:1], 1.0, 10.0)
     for beat in range(100):
         now = 10.0 + beat * 0.2
-        told = [entry.known(now) for entry in entries]
+        told = [entry.reportable(now) for entry in entries]
         for entry, heard in zip(entries, reversed(told), strict=True):
             for limit in heard:
-                late = KnownLimit(ID, limit.per_s, limit.known_at + travel_s)
+                late = LimitObservation(ID, limit.per_s, limit.known_at + travel_s)
                 entry.record_report(late)
-    assert entries[0].known(30.0) == [KnownLimit(ID, 1.0, 10.0)]
+    assert entries[0].reportable(30.0) == [LimitObservation(ID, 1.0, 10.0)]
     # The answer to a request that took five seconds ends the limit.
     entries[0].record_answer(ID, None, sent_at=25.0, now=30.0)
     assert not entries[0].is_limited(ID)
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_placement.py
@@ -82,7 +82,7 @@
         shape = prompt(random)
         entry = random.randrange(ENTRIES)
         chooser = placing if placed else choosers[entry]
-        chosen = chooser.choose(records, shape, knows_all=placed, now=now)
+        chosen = chooser.choose(records, shape, places_for_all=placed, now=now)
         sent = chooser.record_sent(chosen, shape, MEMORY_TOKENS)
         read_at, waits = engines[chosen.listed.endpoint_id].take(shape, now)
         count += 1
@@ -90,9 +90,9 @@
         if placed:
             placed_id = PlacedId(EntryId(f"n{entry}"), count)
             ledger.record_placed(placed_id, sent, now)
-            reading.append((read_at, lambda i=placed_id: ledger.record_read(i)))
+            reading.append((read_at, lambda i=placed_id: ledger.record_prefilled(i)))
         else:
-            reading.append((read_at, lambda c=chooser, s=sent: c.record_started(s)))
+            reading.append((read_at, lambda c=chooser, s=sent: c.record_prefilled(s)))
     return waited / count
 
 
@@ -111,8 +111,8 @@
     sent = engines.record_sent(record(0), prompt(Random(1)), MEMORY_TOKENS)
     ledger.record_placed(placed_id, sent, 0.0)
     assert engines.pending_by_id_
-    ledger.record_read(placed_id)
-    ledger.record_read(placed_id)
+    ledger.record_prefilled(placed_id)
+    ledger.record_prefilled(placed_id)
     assert not engines.pending_by_id_
 
 
@@ -135,7 +135,7 @@
     for number in range(2):
         sent = engines.record_sent(record(number), shape, MEMORY_TOKENS)
         ledger.record_placed(placed_id, sent, 0.0)
-    ledger.record_read(placed_id)
+    ledger.record_prefilled(placed_id)
     assert not engines.pending_by_id_
 
 
@@ -145,5 +145,5 @@
     shape = prompt(Random(1))
     guessed = engines.choose(records, shape, now=0.0)
     engines.record_sent(guessed, prompt(Random(2)), MEMORY_TOKENS)
-    other = engines.choose(records, shape, knows_all=True, now=0.0)
+    other = engines.choose(records, shape, places_for_all=True, now=0.0)
     assert other is not guessed
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_pools.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_pools.py
@@ -78,9 +78,9 @@
     pool = {
         r.listed.endpoint_id for r in EnginePools().members(records, shape.pool_key)
     }
-    chosen = chooser.choose(records, shape, knows_all=True, now=0.0)
+    chosen = chooser.choose(records, shape, places_for_all=True, now=0.0)
     assert chosen.listed.endpoint_id in pool
-    other = chooser.choose(records, shape, excluded=pool, knows_all=True, now=0.0)
+    other = chooser.choose(records, shape, excluded=pool, places_for_all=True, now=0.0)
     assert other is not None
     assert other.listed.endpoint_id not in pool
 
@@ -93,9 +93,9 @@
     first = {}
     for subject in subjects + subjects:
         shape = prompt(subject)
-        chosen = chooser.choose(records, shape, knows_all=True, now=0.0)
+        chosen = chooser.choose(records, shape, places_for_all=True, now=0.0)
         sent = chooser.record_sent(chosen, shape, MEMORY_TOKENS)
-        chooser.record_started(sent)
+        chooser.record_prefilled(sent)
         assert first.setdefault(subject, chosen) is chosen
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_restored_store.py
@@ -47,18 +47,18 @@
 @pytest.fixture
 def roster():
     """Return a roster of three endpoints, known up to revision 96."""
-    known = EndpointRoster(trusted_s=2.0, expiry_s=EXPIRY_S)
+    known = EndpointRoster(removed_grace_s=2.0, expiry_s=EXPIRY_S)
     known.replace([listed(name, 50 + n) for n, name in enumerate("abc")], at(96), 0.0)
     return known
 
 
 def test_one_that_leaves_at_a_revision_given_out_again_is_not_used(roster):
-    roster.put(listed("a", 95, DRAINING, epoch=AFTER))
+    roster.record_listed(listed("a", 95, DRAINING, epoch=AFTER))
     assert used(roster) == {"b", "c"}
 
 
 def test_one_that_is_removed_at_a_revision_given_out_again_is_not_used(roster):
-    roster.put(listed("a", 96))
+    roster.record_listed(listed("a", 96))
     roster.replace([listed("a", 50, epoch=AFTER)], at(94, AFTER), 10.0)
     roster.remove("a", at(95, AFTER), 10.0)
     assert "a" not in used(roster, 12.5)
@@ -66,25 +66,25 @@
 
 def test_one_that_is_listed_at_a_revision_given_out_again_is_used(roster):
     roster.remove("d", at(96), 0.0)
-    roster.put(listed("d", 95, epoch=AFTER))
+    roster.record_listed(listed("d", 95, epoch=AFTER))
     assert "d" in used(roster)
 
 
 def test_a_later_start_without_a_time_is_known_over_the_epochs(roster):
     later = listed("a@2", 40, epoch=AFTER, listed_as="a")
-    roster.put(later)
+    roster.record_listed(later)
     assert used(roster) == {"a@2", "b", "c"}
 
 
 def test_one_that_said_it_leaves_stays_leaving_though_the_copy_says_ready(roster):
-    roster.put(listed("a", 95, DRAINING))
+    roster.record_listed(listed("a", 95, DRAINING))
     roster.replace([listed("a", 50, epoch=AFTER)], at(94, AFTER), 10.0)
     assert "a" not in used(roster)
 
 
 def test_one_that_leaves_is_known_to_from_an_entry_of_the_epoch_before(roster):
     roster.replace([listed("a", 50, epoch=AFTER)], at(94, AFTER), 10.0)
-    roster.put(listed("a", 97, DRAINING))
+    roster.record_listed(listed("a", 97, DRAINING))
     assert "a" not in used(roster)
 
 
@@ -93,12 +93,12 @@
     roster.replace(kept, at(94, AFTER), 10.0)
     assert used(roster, 11.9) == {"a", "b", "c"}
     assert used(roster, 12.1) == {"a", "b"}
-    roster.put(listed("c", 97, epoch=AFTER))
+    roster.record_listed(listed("c", 97, epoch=AFTER))
     assert used(roster, 12.2) == {"a", "b", "c"}
 
 
 def test_one_that_the_copy_lacks_and_that_left_is_not_used(roster):
-    roster.put(listed("c", 95, DRAINING))
+    roster.record_listed(listed("c", 95, DRAINING))
     roster.replace([listed("a", 50, epoch=AFTER)], at(94, AFTER), 10.0)
     assert "c" not in used(roster)
 
@@ -124,7 +124,7 @@
     roster.remove("a", at(95), 5.0)
     copy = [listed(name, 50 + n, epoch=AFTER) for n, name in enumerate("abc")]
     roster.replace(copy, at(94, AFTER), 10.0)
-    roster.put(listed("a", 97, epoch=AFTER))
+    roster.record_listed(listed("a", 97, epoch=AFTER))
     assert used(roster) == {"a", "b", "c"}
 
 
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_roster.py
@@ -41,10 +41,10 @@
 
 def test_draining_and_gone_take_no_new_work():
     roster = EndpointRoster()
-    roster.put(listed("a", 1))
-    roster.put(listed("b", 2))
+    roster.record_listed(listed("a", 1))
+    roster.record_listed(listed("b", 2))
     assert names(roster) == {"a", "b"}
-    change = roster.put(listed("a", 3, ListedState.DRAINING))[0]
+    change = roster.record_listed(listed("a", 3, ListedState.DRAINING))[0]
     assert (change.before, change.after) == ("ready", "draining")
     assert names(roster) == {"b"}
     roster.remove(EndpointId("b"), at(4), 0.0)
@@ -53,31 +53,31 @@
 
 def test_an_old_listing_brings_nothing_back():
     roster = EndpointRoster()
-    roster.put(listed("a", 5, ListedState.DRAINING))
-    roster.put(listed("a", 4))
+    roster.record_listed(listed("a", 5, ListedState.DRAINING))
+    roster.record_listed(listed("a", 4))
     assert names(roster) == set()
     roster.remove(EndpointId("a"), at(6), 0.0)
     roster.replace([listed("a", 5)], at(5), 0.0)
     assert names(roster) == set()
     # Each start draws a new id, so the endpoint with this id is still leaving.
-    roster.put(listed("a", 7))
+    roster.record_listed(listed("a", 7))
     assert names(roster) == set()
 
 
 def test_one_that_was_removed_by_mistake_is_used_again():
     roster = EndpointRoster()
-    roster.put(listed("a", 5))
+    roster.record_listed(listed("a", 5))
     roster.remove(EndpointId("a"), at(6), 0.0)
     roster.replace([listed("a", 5)], at(5), 0.0)
     assert names(roster) == set()
-    roster.put(listed("a", 7))
+    roster.record_listed(listed("a", 7))
     assert names(roster) == {"a"}
 
 
 def test_a_whole_listing_removes_what_it_does_not_hold():
     roster = EndpointRoster()
-    roster.put(listed("a", 1))
-    roster.put(listed("b", 9))
+    roster.record_listed(listed("a", 1))
+    roster.record_listed(listed("b", 9))
     roster.replace([], at(5), 0.0)
     # An endpoint that was listed after this listing was made stays.
     assert names(roster) == {"b"}
@@ -89,25 +89,25 @@
 
 
 def test_most_of_a_service_that_goes_at_once_is_used_for_a_short_while():
-    roster = EndpointRoster(trusted_s=1.0)
+    roster = EndpointRoster(removed_grace_s=1.0)
     for number, name in enumerate("abcd"):
-        roster.put(listed(name, number + 1))
-    roster.put(listed("d", 5, ListedState.DRAINING))
+        roster.record_listed(listed(name, number + 1))
+    roster.record_listed(listed("d", 5, ListedState.DRAINING))
     roster.replace([], at(9), 10.0)
     # After a store outage; the endpoint that said it leaves is not used.
     assert usable(roster, 10.5) == {"a", "b", "c"}
-    roster.put(listed("a", 10))
+    roster.record_listed(listed("a", 10))
     assert usable(roster, 10.5) == {"a", "b", "c"}
-    roster.put(listed("b", 11))
+    roster.record_listed(listed("b", 11))
     assert usable(roster, 10.5) == {"a", "b"}
     assert usable(roster, 11.1) == {"a", "b"}
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 8])
 def test_a_service_that_goes_in_several_answers_keeps_at_least_half(count):
-    roster = EndpointRoster(trusted_s=2.0)
+    roster = EndpointRoster(removed_grace_s=2.0)
     for number in range(count):
-        roster.put(listed(str(number), number + 1))
+        roster.record_listed(listed(str(number), number + 1))
     for number in range(count):
         now = 10.0 + number * 0.2
         roster.remove(EndpointId(str(number)), at(100 + number), now)
@@ -119,9 +119,9 @@
 
 
 def test_one_that_goes_alone_gets_nothing_more():
-    roster = EndpointRoster(trusted_s=1.0)
+    roster = EndpointRoster(removed_grace_s=1.0)
     for number, name in enumerate("abc"):
-        roster.put(listed(name, number + 1))
+        roster.record_listed(listed(name, number + 1))
     roster.remove(EndpointId("a"), at(4), 10.0)
     assert usable(roster, 10.0) == {"b", "c"}
 
@@ -133,10 +133,10 @@
     again. If the state with the highest revision counted, the endpoint would get
     requests long after it said that it leaves.
     """
-    roster = EndpointRoster(trusted_s=1.0)
-    roster.put(listed("a", 1))
-    roster.put(listed("a", 2, ListedState.DRAINING))
-    roster.put(listed("a", 3))
+    roster = EndpointRoster(removed_grace_s=1.0)
+    roster.record_listed(listed("a", 1))
+    roster.record_listed(listed("a", 2, ListedState.DRAINING))
+    roster.record_listed(listed("a", 3))
     assert usable(roster, 10.0) == set()
     assert [endpoint.state for endpoint in roster.listed()] == [ListedState.DRAINING]
     roster.remove(EndpointId("a"), at(4), 10.0)
@@ -151,11 +151,11 @@
     highest revision counted, the endpoint would get requests long after it said that
     it leaves.
     """
-    roster = EndpointRoster(trusted_s=1.0)
-    roster.put(listed("a", 1))
-    roster.put(listed("a", 2, ListedState.DRAINING))
+    roster = EndpointRoster(removed_grace_s=1.0)
+    roster.record_listed(listed("a", 1))
+    roster.record_listed(listed("a", 2, ListedState.DRAINING))
     roster.remove(EndpointId("a"), at(4), 10.0)
-    roster.put(listed("a", 5))
+    roster.record_listed(listed("a", 5))
     assert usable(roster, 10.0) == set()
 
 
@@ -166,43 +166,43 @@
     older listing from a peer says that it was draining. If older revisions were ignored
     altogether, the endpoint would get requests after this process read that it leaves.
     """
-    roster = EndpointRoster(trusted_s=1.0)
-    roster.put(listed("a", 1))
+    roster = EndpointRoster(removed_grace_s=1.0)
+    roster.record_listed(listed("a", 1))
     roster.remove(EndpointId("a"), at(9), 10.0)
     assert usable(roster, 10.0) == {"a"}
-    roster.put(listed("a", 2, ListedState.DRAINING))
+    roster.record_listed(listed("a", 2, ListedState.DRAINING))
     assert usable(roster, 10.0) == set()
 
 
 def test_one_that_comes_back_in_the_same_answer_is_used():
     roster = EndpointRoster()
-    roster.put(listed("a", 1))
+    roster.record_listed(listed("a", 1))
     roster.remove(EndpointId("a"), at(1), 10.0, seen_at=at(3))
-    roster.put(listed("a", 1))
+    roster.record_listed(listed("a", 1))
     assert names(roster) == set()
-    roster.put(listed("a", 3))
+    roster.record_listed(listed("a", 3))
     assert names(roster) == {"a"}
     assert roster.changed_position_ == at(3)
 
 
 def test_a_record_that_comes_back_keeps_what_was_learned():
     roster = EndpointRoster()
-    roster.put(listed("a", 1))
+    roster.record_listed(listed("a", 1))
     roster.record(EndpointId("a")).record_success(20.0)
     roster.remove(EndpointId("a"), at(2), 10.0)
-    roster.put(listed("a", 3))
+    roster.record_listed(listed("a", 3))
     assert roster.record(EndpointId("a")).latency_ms_.count_ == 1
 
 
 @given(st.permutations(range(6)))
 def test_the_order_of_arrival_does_not_matter(order):
     events = [
-        lambda r: r.put(listed("a", 1)),
-        lambda r: r.put(listed("a", 2, ListedState.DRAINING)),
+        lambda r: r.record_listed(listed("a", 1)),
+        lambda r: r.record_listed(listed("a", 2, ListedState.DRAINING)),
         lambda r: r.remove(EndpointId("a"), at(3), 0.0),
-        lambda r: r.put(listed("b", 4)),
+        lambda r: r.record_listed(listed("b", 4)),
         lambda r: r.remove(EndpointId("b"), at(5), 0.0),
-        lambda r: r.put(listed("b", 6)),
+        lambda r: r.record_listed(listed("b", 6)),
     ]
     roster = EndpointRoster()
     for number in order:
@@ -212,7 +212,7 @@
 
 def test_suspicion_grows_and_expires():
     roster = EndpointRoster()
-    roster.put(listed("a", 1))
+    roster.record_listed(listed("a", 1))
     record = roster.record(EndpointId("a"))
     record.record_failure(10.0, EndpointFailure.ERROR_STATUS)
     assert not record.is_suspect(10.0)
@@ -226,29 +226,29 @@
 
 def test_load_of_other_processes_is_what_a_fresh_report_has_beyond_ours():
     roster = EndpointRoster()
-    roster.put(listed("a", 1))
+    roster.record_listed(listed("a", 1))
     record = roster.record(EndpointId("a"))
     record.record_load(ReportedLoad(running=3, waiting=2, slots=4), 10.0)
     record.in_flight_ = 1
-    assert record.waiting_elsewhere(10.5) == 4
-    assert record.waiting_elsewhere(13.0) == 0
+    assert record.other_load(10.5) == 4
+    assert record.other_load(13.0) == 0
 
 
 def test_one_that_says_itself_that_it_leaves_takes_no_new_work_whatever_is_listed():
-    roster = EndpointRoster(trusted_s=1.0)
-    roster.put(listed("a", 1))
+    roster = EndpointRoster(removed_grace_s=1.0)
+    roster.record_listed(listed("a", 1))
     roster.record_leaving(EndpointId("a"))
     assert usable(roster, 10.0) == set()
-    roster.put(listed("a", 2))
+    roster.record_listed(listed("a", 2))
     assert usable(roster, 10.0) == set()
     roster.remove(EndpointId("a"), at(3), 10.0)
-    roster.put(listed("a", 4))
+    roster.record_listed(listed("a", 4))
     assert usable(roster, 10.0) == set()
 
 
 def test_one_that_was_just_removed_and_says_that_it_leaves_is_not_used():
-    roster = EndpointRoster(trusted_s=1.0)
-    roster.put(listed("a", 1))
+    roster = EndpointRoster(removed_grace_s=1.0)
+    roster.record_listed(listed("a", 1))
     roster.remove(EndpointId("a"), at(2), 10.0)
     assert usable(roster, 10.1) == {"a"}
     roster.record_leaving(EndpointId("a"))
--- a/packages/leadford/src/leadford/forwarding/endpoints/tests/test_starts.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/tests/test_starts.py
@@ -51,7 +51,7 @@
         self.listed = {}
         self.ended = set()
         self.news = []
-        self.rosters = [EndpointRoster(trusted_s=0.0) for _ in range(2)]
+        self.rosters = [EndpointRoster(removed_grace_s=0.0) for _ in range(2)]
         # The latest start of each name that each entry has heard of.
         self.heard = [dict.fromkeys(NAMES, 0) for _ in range(2)]
 
@@ -96,7 +96,7 @@
         if endpoint is None:
             roster.remove(name, at(revision), self.now)
         else:
-            roster.put(endpoint)
+            roster.record_listed(endpoint)
             self.hear_of(which, [endpoint])
 
     def hear_of(self, which, endpoints):
