--- a/packages/leadford-server/src/leadford_server/forwarding/_state.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_state.py
@@ -29,7 +29,7 @@
     PromptShape,
 )
 from leadford.forwarding.history import StoreEpochs
-from leadford.forwarding.membership import HeardVersions
+from leadford.forwarding.membership import PeerVersions
 from leadford.forwarding.retries import RetryBudgets, WindowedRetryBudget
 from leadford.forwarding.routes import ProcessStatus, RouteTable, Service, ServiceId
 from leadford_server.forwarding._contract import RequestCodec
@@ -140,7 +140,7 @@
         self.first_byte_ = FirstByteTimes()
         self.reservations_ = RetryReservations()
         self.config_seen_at_: float | None = None
-        self.heard_versions_ = HeardVersions()
+        self.heard_versions_ = PeerVersions()
         self.stop_began_at_: float | None = None
         # Set by the links when they are created.
         self.placing_: PromptPlacement | None = None
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_fleet.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_fleet.py
@@ -9,10 +9,10 @@
 from leadford.common import EntryId, HallId
 from leadford.forwarding.batching import GroupId
 from leadford.forwarding.membership import (
-    placed_group,
-    placed_groups,
+    peers_to_link,
+    placement_group,
+    placement_groups,
     store_followers,
-    wanted_peers,
 )
 from leadford.forwarding.routes import Service, ServiceId
 from leadford_server.forwarding._state import ForwardState
@@ -42,14 +42,14 @@
         halls[self.state.entry_id] = self.state.hall
         return halls
 
-    def wanted_peers(self) -> set[EntryId]:
+    def peers_to_link(self) -> set[EntryId]:
         """Return the entries to hold links to."""
         stages = self.stage_groups()
         groups = stages | self.engine_groups()
         if not stages:
             # The entries that follow the store for all others are found by this group.
             groups.add(self._own_region())
-        return wanted_peers(
+        return peers_to_link(
             self.state.entry_id, self.halls_by_entry(), groups, self.state.regions
         )
 
@@ -74,7 +74,7 @@
         for service in self._services():
             if service.engine is None:
                 continue
-            found |= placed_groups(
+            found |= placement_groups(
                 service.service_id,
                 self.state.roster_.listed_by_hall(service.service_id),
                 self.halls_by_entry(),
@@ -87,7 +87,7 @@
         service = self.state.service(service_id)
         if service is None or service.engine is None:
             return None
-        return placed_group(
+        return placement_group(
             service_id,
             self.state.roster_.listed_by_hall(service_id),
             self.halls_by_entry(),
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
@@ -69,10 +69,10 @@
             (backlog, PROTOCOL_FLEET),
             (limits, PROTOCOL_LIMITS),
         )
-        tells_all = bool(
+        is_for_all_peers = bool(
             backlog or confirmations or message.refused or message.is_draining
         )
-        self.news_ = HeartbeatNews(number, tells_all)
+        self.news_ = HeartbeatNews(number, is_for_all_peers)
 
     def send(self, peer: PeerConnection) -> None:
         """Send to a peer the parts that it needs and can read, if it is due."""
@@ -80,7 +80,7 @@
         if not is_due(
             self.news_,
             is_scheduler=peer.info.peer_id in self.scheduler_ids,
-            knows_pace=version >= PROTOCOL_PACED,
+            peer_skips_heartbeats=version >= PROTOCOL_PACED,
         ):
             return
         peer.send(self.message)
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -15,7 +15,7 @@
 from leadford.forwarding.history import StorePosition
 from leadford.forwarding.membership import (
     BuildVersions,
-    HeardPeers,
+    PeerLiveness,
     SharedRule,
 )
 from leadford.forwarding.routes import ForwardConfig
@@ -81,7 +81,7 @@
         self.fleet = FleetView(state=state)
         self.dialers_by_id_: dict[EntryId, Dialer] = {}
         self.peers_by_id_: dict[EntryId, PeerConnection] = {}
-        self.heard_ = HeardPeers()
+        self.heard_ = PeerLiveness()
         self.builds_ = BuildVersions(own=PROTOCOL_VERSION)
         self.shared_rules_: frozenset[SharedRule] = frozenset()
         self.draining_ids_: set[EntryId] = set()
@@ -159,7 +159,7 @@
     async def run(self) -> None:
         """Send heartbeats and maintain the links until cancelled."""
         while True:
-            self.heard_.look(self.state.now())
+            self.heard_.record_running(self.state.now())
             self._dial()
             self._send_heartbeats()
             self.stages.sent.check()
@@ -168,7 +168,7 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S * spread)
 
     def _dial(self) -> None:
-        wanted = self.fleet.wanted_peers()
+        wanted = self.fleet.peers_to_link()
         for entry_id in set(self.dialers_by_id_) - wanted:
             dialer = self.dialers_by_id_.pop(entry_id)
             asyncio.ensure_future(dialer.stop())
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_news.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_news.py
@@ -16,7 +16,7 @@
 from leadford.events import Event
 from leadford.forwarding.endpoints import ListedEndpoint, is_dialable
 from leadford.forwarding.history import START_POSITION, StoreEpoch, StorePosition
-from leadford.forwarding.membership import NewsFetch
+from leadford.forwarding.membership import PeerFetch
 from leadford.forwarding.routes import (
     ConfigDownload,
     ConfigPart,
@@ -77,8 +77,8 @@
         self.on_config = on_config
         self.on_listing = on_listing
         self.on_entries = on_entries
-        self.config_fetch_ = NewsFetch(0)
-        self.listing_fetch_ = NewsFetch(START_POSITION)
+        self.config_fetch_ = PeerFetch(0)
+        self.listing_fetch_ = PeerFetch(START_POSITION)
         self.download_ = ConfigDownload()
         self.parts_ = ConfigParts()
 
@@ -106,13 +106,13 @@
         version = self.version()
         heard = peer.peer_config_version_
         self.state.heard_versions_.record(heard, version, now)
-        if self.config_fetch_.must_ask(version, heard, now):
+        if self.config_fetch_.should_request(version, heard, now):
             self._ask_config(peer, version, now)
         known = self.state.roster_.changed_position_
         heard = self._position(peer, message.listing_epoch, message.listing_revision)
-        if self.listing_fetch_.must_ask(known, heard, now):
+        if self.listing_fetch_.should_request(known, heard, now):
             self._log_request(peer, NewsKind.LISTING, known.revision)
-            self.listing_fetch_.record_asked(EntryId(peer.info.peer_id), now)
+            self.listing_fetch_.record_requested(EntryId(peer.info.peer_id), now)
             peer.send(ListingRequest(known.revision, known.epoch))
 
     def _position(
@@ -131,7 +131,7 @@
     def _ask_config(self, peer: PeerConnection, version: int, now: float) -> None:
         """Request the configuration of a peer, or the missing rest of a download."""
         self._log_request(peer, NewsKind.CONFIG, version)
-        self.config_fetch_.record_asked(EntryId(peer.info.peer_id), now)
+        self.config_fetch_.record_requested(EntryId(peer.info.peer_id), now)
         if peer.info.protocol_version < PROTOCOL_CONFIG_PARTS:
             peer.send(ForwardConfigRequest(version))
             return
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
@@ -182,7 +182,7 @@
                     # Changes are sent before their confirmation, so one was missed.
                     follower.poll_now()
                 continue
-            confirmed_at = clock.own_moment(confirmation.confirmed_ms / 1_000.0)
+            confirmed_at = clock.to_local_time(confirmation.confirmed_ms / 1_000.0)
             position = StorePosition(
                 StoreEpoch(confirmation.epoch), confirmation.revision
             )
@@ -237,7 +237,7 @@
             )
             return
         events = read.unwrap()
-        confirmed_at = clock.own_moment(message.sent_ms / 1_000.0)
+        confirmed_at = clock.to_local_time(message.sent_ms / 1_000.0)
         seen = ObjectEvents(events, message.revision).in_epoch(epoch)
         fits = follower.learn(message.after_revision, seen, confirmed_at)
         end = "taken" if fits else "gap"
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_factory.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_factory.py
@@ -12,8 +12,8 @@
 from leadford.forwarding.history import StorePosition
 from leadford.forwarding.membership import (
     follower_watch_s,
-    longest_call_s,
-    rest_s,
+    max_call_s,
+    max_confirmation_age_s,
     watch_s,
 )
 from leadford_server.forwarding._state import ForwardBounds
@@ -96,8 +96,10 @@
             random=self.random,
             owner=owner,
             watch_s=lambda: self._relayed_watch_s(bound_s(), watch_s),
-            call_s=lambda: longest_call_s(self.bounds().resync_s),
-            rest_s=lambda: 0.0 if self.relays.follows else rest_s(bound_s()),
+            call_s=lambda: max_call_s(self.bounds().resync_s),
+            max_confirmation_age_s=lambda: (
+                0.0 if self.relays.follows else max_confirmation_age_s(bound_s())
+            ),
             tell=self.relays.tell,
             on_relayed=on_relayed,
             changes_pause_s=changes_pause_s,
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
@@ -70,12 +70,12 @@
     """Keep the owner of one kind up to date.
 
     The waits are read anew before each call: `watch_s` for a watch, `call_s` until the
-    first byte of a call that does not wait for a change. `rest_s` returns for how many
-    seconds after a confirmation this entry makes no calls, 0 where it follows the store
-    itself. `tell` receives the changes that the store sent to this entry; `on_relayed`
-    receives the time at which the store confirmed to another entry that this one is
-    current. With `is_told_by_version` other entries identify what they know by a
-    version of the object, which stays valid over all histories of the store.
+    first byte of a call that does not wait for a change. `max_confirmation_age_s`
+    returns for how many seconds after a confirmation this entry makes no calls, 0 where
+    it follows the store itself. `tell` receives the changes that the store sent to this
+    entry; `on_relayed` receives the time at which the store confirmed to another entry
+    that this one is current. With `is_told_by_version` other entries identify what they
+    know by a version of the object, which stays valid over all histories of the store.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         owner: KindOwner,
         watch_s: Callable[[], float],
         call_s: Callable[[], float],
-        rest_s: Callable[[], float] = zero_rest_s,
+        max_confirmation_age_s: Callable[[], float] = zero_rest_s,
         tell: Callable[[str, StorePosition, ObjectEvents], None] = discard_changes,
         on_relayed: Callable[[float], None] = ignore_relayed,
         changes_pause_s: float = CHANGES_PAUSE_S,
@@ -97,7 +97,7 @@
         self.is_told_by_version = is_told_by_version
         self.watch_s = watch_s
         self.call_s = call_s
-        self.rest_s = rest_s
+        self.max_confirmation_age_s = max_confirmation_age_s
         self.tell = tell
         self.on_relayed = on_relayed
         self.kind = kind
@@ -139,7 +139,7 @@
 
     def _on_epoch(self) -> None:
         """Schedule a new listing, spread over time among the entries that rest."""
-        if self.is_told_by_version or self.rest_s() <= 0.0:
+        if self.is_told_by_version or self.max_confirmation_age_s() <= 0.0:
             return
         pause_s = self.random.uniform(0.0, RELIST_SPREAD_S)
         asyncio.get_running_loop().call_later(pause_s, self._list_anew)
@@ -157,13 +157,13 @@
         """
         if self.confirmed_at_ is None:
             return RETRY_MAX_S
-        return max(RETRY_MAX_S, RESTING_RETRY_FRACTION * self.rest_s())
+        return max(RETRY_MAX_S, RESTING_RETRY_FRACTION * self.max_confirmation_age_s())
 
     async def _rest(self) -> None:
         """Wait for as long as the last confirmation is recent enough."""
         now = asyncio.get_running_loop().time
         while self.position_ is not None and self.confirmed_at_ is not None:
-            left_s = self.confirmed_at_ + self.rest_s() - now()
+            left_s = self.confirmed_at_ + self.max_confirmation_age_s() - now()
             if left_s < MIN_REST_S or self.poll_requested_.is_set():
                 break
             with suppress(TimeoutError):
@@ -320,7 +320,9 @@
         old, and where others follow the store.
         """
         reconnects = self.is_unanswered_ or self.client.is_silent_
-        returns_at_once = reconnects or self.may_be_old_ or self.rest_s() > 0.0
+        returns_at_once = (
+            reconnects or self.may_be_old_ or self.max_confirmation_age_s() > 0.0
+        )
         wait_s = 0.0 if returns_at_once else self.watch_s()
         # A silent store never answers a pending call, not even once it is back; so the
         # next call has to follow soon, also where a slow store is given more time.
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
@@ -22,7 +22,7 @@
 from returns.result import Failure, Success
 
 from leadford.forwarding.history import FIRST_EPOCH, StoreEpochs
-from leadford.forwarding.membership import longest_call_s, watch_s
+from leadford.forwarding.membership import max_call_s, watch_s
 from leadford_platform import PlatformObjects
 from leadford_server.forwarding._store_contract import StoreAnswer, StoreFailure
 from leadford_server.forwarding.store._client import CALL_S
@@ -117,7 +117,7 @@
         watch_s=lambda: watch_s(
             WATCH_S, live_peers, random.random(), resync_s=resync_s
         ),
-        call_s=lambda: longest_call_s(resync_s),
+        call_s=lambda: max_call_s(resync_s),
     )
 
     async def follow():
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
@@ -53,7 +53,7 @@
     """Tell whether every entry holds the links that it wants, and all agree."""
     views = {frozenset(schedulers(entry)) for entry in deployment.entries_}
     return len(views) == 1 and all(
-        entry.links_.fleet.wanted_peers() <= set(entry.links_.peers_by_id_)
+        entry.links_.fleet.peers_to_link() <= set(entry.links_.peers_by_id_)
         for entry in deployment.entries_
     )
 
@@ -124,6 +124,6 @@
         await deployment.until(lambda: settled(deployment))
         # Two candidates for the stage, two for the engines, two neighbours.
         for entry in deployment.entries_:
-            assert len(entry.links_.fleet.wanted_peers()) <= 6
+            assert len(entry.links_.fleet.peers_to_link()) <= 6
 
     play(scenario, entries=ENTRIES)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
@@ -209,7 +209,7 @@
         for peer in list(links.peers_by_id_.values()):
             links.peer_lost(peer)
         await deployment.until(
-            lambda: links.fleet.wanted_peers() <= set(links.peers_by_id_)
+            lambda: links.fleet.peers_to_link() <= set(links.peers_by_id_)
         )
         await deployment.until(lambda: takes(service))
 
--- a/packages/leadford/src/leadford/forwarding/membership/_fetch.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_fetch.py
@@ -24,7 +24,7 @@
 MAX_UNUSABLE_BACKOFF_S = 8.0
 
 
-class NewsFetch(Generic[T]):
+class PeerFetch(Generic[T]):
     """Track how long peers have had newer data, and the request in progress.
 
     `nothing` is the version, or the position, of an entry that has no data.
@@ -39,7 +39,7 @@
         self.consecutive_asked_ = 0
         self.consecutive_unusable_ = 0
 
-    def must_ask(self, known: T, heard: T, now: float) -> bool:
+    def should_request(self, known: T, heard: T, now: float) -> bool:
         """Tell whether to ask a peer that reports the version `heard`."""
         if known != self.known_:
             self.known_ = known
@@ -54,7 +54,7 @@
             return False
         return now >= self.next_ask_at_
 
-    def record_asked(self, entry_id: EntryId, now: float) -> None:
+    def record_requested(self, entry_id: EntryId, now: float) -> None:
         """Record that a peer was asked."""
         wait_s = min(
             MAX_STALL_TIMEOUT_S, STALL_TIMEOUT_S * 2.0**self.consecutive_asked_
--- a/packages/leadford/src/leadford/forwarding/membership/_heard.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_heard.py
@@ -6,7 +6,7 @@
 """
 
 
-class HeardVersions:
+class PeerVersions:
     """Keep when each version newer than this entry's own was first reported."""
 
     def __init__(self) -> None:
--- a/packages/leadford/src/leadford/forwarding/membership/_liveness.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_liveness.py
@@ -16,12 +16,12 @@
 LIVE_TIMEOUT_S = 0.9
 # Multiple of LIVE_TIMEOUT_S after which a silent peer is disconnected.
 SILENT_TIMEOUT_FACTOR = 3
-# Longest time between two calls of `look` that counts as running time: a heartbeat
-# interval, its spread and a third more. Beyond it this entry was suspended.
+# Longest time between two calls of `record_running` that counts as running time: a
+# heartbeat interval, its spread and a third more. Beyond it this entry was suspended.
 MAX_LOOK_INTERVAL_S = 0.3
 
 
-class HeardPeers:
+class PeerLiveness:
     """Record when each peer was last heard, in the running time of this entry."""
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self.looked_at_: float | None = None
         self.suspended_s_ = 0.0
 
-    def look(self, now: float) -> None:
+    def record_running(self, now: float) -> None:
         """Record that this entry is running; called with each of its heartbeats."""
         self.suspended_s_ += self._suspended_since_look_s(now)
         self.looked_at_ = now
@@ -61,7 +61,7 @@
         return now - self.suspended_s_ - self._suspended_since_look_s(now)
 
     def _suspended_since_look_s(self, now: float) -> float:
-        """Return for how long this entry was suspended since the last `look`."""
+        """Return how long this entry was suspended since the last `record_running`."""
         if self.looked_at_ is None:
             return 0.0
         return max(0.0, now - self.looked_at_ - MAX_LOOK_INTERVAL_S)
--- a/packages/leadford/src/leadford/forwarding/membership/_pace.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_pace.py
@@ -19,20 +19,23 @@
 class HeartbeatNews(msgspec.Struct, frozen=True):
     """Describe the content of a heartbeat beyond the fact that its sender is alive.
 
-    `tells_all` is true where every peer must get it at once: a planned stop, requests
-    that were told to come back, or reports of a scheduler or a follower of the store.
+    `is_for_all_peers` is true where every peer must get it at once: a planned stop,
+    requests that were told to come back, or reports of a scheduler or a follower of the
+    store.
     """
 
     number: int
-    tells_all: bool
+    is_for_all_peers: bool
 
 
-def is_due(news: HeartbeatNews, *, is_scheduler: bool, knows_pace: bool) -> bool:
+def is_due(
+    news: HeartbeatNews, *, is_scheduler: bool, peer_skips_heartbeats: bool
+) -> bool:
     """Tell whether a peer gets a heartbeat now.
 
-    `is_scheduler` says whether the peer schedules a group, `knows_pace` whether its
-    build also skips heartbeats.
+    `is_scheduler` says whether the peer schedules a group, `peer_skips_heartbeats`
+    whether its build also skips heartbeats.
     """
-    if news.tells_all or is_scheduler or not knows_pace:
+    if news.is_for_all_peers or is_scheduler or not peer_skips_heartbeats:
         return True
     return news.number % REDUCED_HEARTBEAT_DIVISOR == 0
--- a/packages/leadford/src/leadford/forwarding/membership/_peer_clock.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_peer_clock.py
@@ -18,7 +18,7 @@
         if self.min_offset_s_ is None or offset_s < self.min_offset_s_:
             self.min_offset_s_ = offset_s
 
-    def own_moment(self, moment: float) -> float:
+    def to_local_time(self, moment: float) -> float:
         """Convert a time of the peer's clock to the clock of this process.
 
         Units: seconds of the monotonic clock. A message must have been recorded.
--- a/packages/leadford/src/leadford/forwarding/membership/_peers.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_peers.py
@@ -27,7 +27,7 @@
 PLACING_MIN_ENTRIES = 8
 
 
-def wanted_peers(
+def peers_to_link(
     own: EntryId,
     halls_by_entry: dict[EntryId, HallId],
     groups: Iterable[GroupId],
@@ -47,7 +47,7 @@
     return wanted
 
 
-def placed_group(
+def placement_group(
     service_id: ServiceId,
     engines_by_hall: Mapping[HallId, int],
     halls_by_entry: Mapping[EntryId, HallId],
@@ -70,7 +70,7 @@
     return _pool_group(service_id, region, prompt_pool(pool_key, count))
 
 
-def placed_groups(
+def placement_groups(
     service_id: ServiceId,
     engines_by_hall: Mapping[HallId, int],
     halls_by_entry: Mapping[EntryId, HallId],
--- a/packages/leadford/src/leadford/forwarding/membership/_relays.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_relays.py
@@ -5,8 +5,8 @@
 others learn from them what changed, and how long ago the store confirmed that nothing
 is missing. An entry whose newest confirmation is too old queries the store itself,
 whatever the reason: the followers or the store may be lost, cut off, slow, stopped or
-unresponsive. So the data of an entry is never older than `rest_s` plus one call, and no
-message or lease is needed to agree on the followers.
+unresponsive. So the data of an entry is never older than `max_confirmation_age_s` plus
+one call, and no message or lease is needed to agree on the followers.
 """
 
 from collections.abc import Iterable, Sequence
@@ -28,9 +28,9 @@
 # fleet each entry follows the store itself: three followers of six entries would save
 # only half of the calls, and news would need two steps.
 RELAY_MIN_ENTRIES = 8
-# Maximum wait of a follower's watch as a fraction of `rest_s`: if all watches are lost
-# at once, for example because the store discarded its history, the next ones are
-# answered before all entries query the store.
+# Maximum wait of a follower's watch as a fraction of `max_confirmation_age_s`: if all
+# watches are lost at once, for example because the store discarded its history, the
+# next ones are answered before all entries query the store.
 FOLLOWER_WATCH_FRACTION = 0.5
 
 
@@ -66,7 +66,7 @@
     return followers
 
 
-def rest_s(bound_s: float) -> float:
+def max_confirmation_age_s(bound_s: float) -> float:
     """Return the maximum age of the newest confirmation without a query to the store.
 
     `bound_s` is the time within which this entry must know of a change. The remainder
@@ -77,14 +77,17 @@
     return max(MIN_WAIT_S, bound_s - ANSWER_RESERVE_S)
 
 
-def follower_watch_s(bound_s: float, resync_s: float, drawn: float) -> float:
+def follower_watch_s(bound_s: float, resync_s: float, random_fraction: float) -> float:
     """Return how long the watch of a follower waits.
 
-    `drawn` is a random number from 0 to 1, so that followers that started together do
-    not end their watches together.
+    `random_fraction` is a random number from 0 to 1, so that followers that started
+    together do not end their watches together.
 
     Units: seconds.
     """
     low, high = WATCH_SPREAD
-    max_s = min(longest_watch_s(resync_s), FOLLOWER_WATCH_FRACTION * rest_s(bound_s))
-    return max(MIN_WAIT_S, max_s * (low + drawn * (high - low)))
+    max_s = min(
+        longest_watch_s(resync_s),
+        FOLLOWER_WATCH_FRACTION * max_confirmation_age_s(bound_s),
+    )
+    return max(MIN_WAIT_S, max_s * (low + random_fraction * (high - low)))
--- a/packages/leadford/src/leadford/forwarding/membership/_stop.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_stop.py
@@ -20,6 +20,6 @@
     return began_at + grace_s - STOP_MARGIN_S
 
 
-def may_stop(elapsed_s: float, live: int) -> bool:
-    """Tell whether a stop may end early, with `live` requests in progress."""
-    return elapsed_s >= STOP_MIN_S and live == 0
+def may_stop(elapsed_s: float, live_requests: int) -> bool:
+    """Tell whether a stop may end early, with `live_requests` requests in progress."""
+    return elapsed_s >= STOP_MIN_S and live_requests == 0
--- a/packages/leadford/src/leadford/forwarding/membership/_watch.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_watch.py
@@ -41,7 +41,7 @@
     return max(MIN_WAIT_S, resync_s - WATCH_MARGIN_S - ANSWER_RESERVE_S)
 
 
-def longest_call_s(resync_s: float) -> float:
+def max_call_s(resync_s: float) -> float:
     """Return the maximum time to the first byte of a call that does not wait.
 
     Units: seconds.
@@ -49,11 +49,13 @@
     return max(MIN_WAIT_S, min(MAX_CALL_S, resync_s - ANSWER_RESERVE_S))
 
 
-def watch_s(alone_s: float, live_peers: int, drawn: float, *, resync_s: float) -> float:
+def watch_s(
+    alone_s: float, live_peers: int, random_fraction: float, *, resync_s: float
+) -> float:
     """Return how long a watch waits, where this entry alone would wait `alone_s`.
 
-    `drawn` is a random number from 0 to 1, `resync_s` the time to catch up after a
-    fault of the store.
+    `random_fraction` is a random number from 0 to 1, `resync_s` the time to catch up
+    after a fault of the store.
 
     Units: seconds.
     """
@@ -63,5 +65,5 @@
     if factor <= 1.0:
         return alone_s
     low, high = WATCH_SPREAD
-    spread = low + drawn * (high - low)
+    spread = low + random_fraction * (high - low)
     return max(alone_s, min(alone_s * factor, bound_s) * spread)
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_membership.py
@@ -10,15 +10,15 @@
     schedulers_in_order,
 )
 from leadford.forwarding.membership import (
-    HeardPeers,
-    HeardVersions,
-    NewsFetch,
-    longest_call_s,
+    PeerFetch,
+    PeerLiveness,
+    PeerVersions,
+    max_call_s,
     may_stop,
-    placed_group,
-    placed_groups,
+    peers_to_link,
+    placement_group,
+    placement_groups,
     stop_ends_at,
-    wanted_peers,
     watch_s,
 )
 from leadford.forwarding.membership._watch import ANSWER_RESERVE_S, WATCH_MARGIN_S
@@ -39,7 +39,7 @@
 
 def heard(at):
     """Return the state after one message from a peer."""
-    peers = HeardPeers()
+    peers = PeerLiveness()
     peers.record_heard(PEER, at)
     return peers
 
@@ -47,19 +47,19 @@
 def test_an_entry_lives_for_a_while_after_it_was_heard():
     assert heard(10.0).is_live(PEER, 10.8)
     assert not heard(10.0).is_live(PEER, 10.9)
-    assert not HeardPeers().is_live(PEER, 10.0)
+    assert not PeerLiveness().is_live(PEER, 10.0)
 
 
 def test_a_peer_without_a_word_for_long_is_silent():
     assert not heard(10.0).is_silent(PEER, 12.6)
     assert heard(10.0).is_silent(PEER, 12.8)
-    assert not HeardPeers().is_silent(PEER, 12.8)
+    assert not PeerLiveness().is_silent(PEER, 12.8)
 
 
 def test_a_peer_is_silent_as_soon_where_this_entry_runs():
     peers = heard(10.0)
     for step in range(1, 16):
-        peers.look(10.0 + 0.2 * step)
+        peers.record_running(10.0 + 0.2 * step)
         assert peers.is_live(PEER, 10.0 + 0.2 * step) == (step < 5)
     assert peers.is_silent(PEER, 13.0)
 
@@ -67,15 +67,16 @@
 @pytest.mark.parametrize("held_up_s", [1.0, 3.0, 30.0])
 def test_time_in_which_an_entry_is_held_up_is_no_silence_of_its_peers(held_up_s):
     peers = heard(10.0)
-    peers.look(10.0)
+    peers.record_running(10.0)
     awake_at = 10.0 + held_up_s
-    # Both before its next `look` and after it, until it has read the waiting messages.
+    # Both before its next `record_running` and after it, until it has read the waiting
+    # messages.
     assert peers.is_live(PEER, awake_at)
-    peers.look(awake_at)
+    peers.record_running(awake_at)
     assert peers.is_live(PEER, awake_at)
     # A peer that is gone counts as dead after the usual time.
     for step in range(1, 5):
-        peers.look(awake_at + 0.2 * step)
+        peers.record_running(awake_at + 0.2 * step)
     assert not peers.is_live(PEER, awake_at + 0.8)
 
 
@@ -84,17 +85,17 @@
     reached = {EntryId("e00")}
     for _ in range(6):
         for entry in set(reached):
-            reached |= wanted_peers(entry, halls, [], REGIONS)
+            reached |= peers_to_link(entry, halls, [], REGIONS)
     assert reached == set(halls)
-    assert wanted_peers(EntryId("e06"), halls, [], REGIONS) == {"e00", "e01"}
+    assert peers_to_link(EntryId("e06"), halls, [], REGIONS) == {"e00", "e01"}
 
 
 def test_links_lead_to_the_first_candidates_of_each_group():
     halls = entries(40)
     group = GroupId(ServiceId("s"), PlaceId("r"))
     candidates = [
-        wanted_peers(entry, halls, [group], REGIONS)
-        - wanted_peers(entry, halls, [], REGIONS)
+        peers_to_link(entry, halls, [group], REGIONS)
+        - peers_to_link(entry, halls, [], REGIONS)
         for entry in (EntryId("e05"), EntryId("e20"))
     ]
     assert candidates[0] | candidates[1]
@@ -104,79 +105,79 @@
 def test_the_number_of_links_does_not_grow_with_the_fleet():
     group = GroupId(ServiceId("s"), PlaceId("r"))
     for count in (5, 50, 500):
-        assert len(wanted_peers(EntryId("e00"), entries(count), [group], REGIONS)) <= 4
+        assert len(peers_to_link(EntryId("e00"), entries(count), [group], REGIONS)) <= 4
 
 
 def test_an_entry_alone_links_to_nobody():
-    assert wanted_peers(EntryId("e00"), entries(1), [], REGIONS) == set()
+    assert peers_to_link(EntryId("e00"), entries(1), [], REGIONS) == set()
 
 
 def test_a_peer_is_asked_once_it_has_known_better_for_a_while():
-    fetch = NewsFetch(0)
-    assert not fetch.must_ask(3, 3, 10.0)
-    assert not fetch.must_ask(3, 4, 10.0)
-    assert not fetch.must_ask(3, 4, 10.2)
-    assert fetch.must_ask(3, 4, 10.3)
+    fetch = PeerFetch(0)
+    assert not fetch.should_request(3, 3, 10.0)
+    assert not fetch.should_request(3, 4, 10.0)
+    assert not fetch.should_request(3, 4, 10.2)
+    assert fetch.should_request(3, 4, 10.3)
 
 
 def test_no_other_peer_is_asked_while_parts_of_an_answer_arrive():
-    fetch = NewsFetch(0)
-    assert not fetch.must_ask(3, 4, 10.0)
-    fetch.record_asked(EntryId("e1"), 10.3)
+    fetch = PeerFetch(0)
+    assert not fetch.should_request(3, 4, 10.0)
+    fetch.record_requested(EntryId("e1"), 10.3)
     for step in range(20):
         now = 10.4 + 0.9 * step
-        assert not fetch.must_ask(3, 4, now)
+        assert not fetch.should_request(3, 4, now)
         fetch.record_part(now)
-    assert not fetch.must_ask(3, 4, now + 0.9)
-    assert fetch.must_ask(3, 4, now + 1.0)
+    assert not fetch.should_request(3, 4, now + 0.9)
+    assert fetch.should_request(3, 4, now + 1.0)
 
 
 def test_each_further_peer_is_given_twice_as_long():
-    fetch = NewsFetch(0)
-    assert not fetch.must_ask(3, 4, 10.0)
+    fetch = PeerFetch(0)
+    assert not fetch.should_request(3, 4, 10.0)
     now = 10.5
     for wait_s in (1.0, 2.0, 4.0, 8.0, 8.0):
-        assert fetch.must_ask(3, 4, now)
-        fetch.record_asked(EntryId("e1"), now)
-        assert not fetch.must_ask(3, 4, now + wait_s - 0.1)
+        assert fetch.should_request(3, 4, now)
+        fetch.record_requested(EntryId("e1"), now)
+        assert not fetch.should_request(3, 4, now + wait_s - 0.1)
         now += wait_s
 
 
 def test_nobody_is_asked_at_once_after_an_answer_that_cannot_be_used():
-    fetch = NewsFetch(0)
-    assert not fetch.must_ask(3, 4, 10.0)
+    fetch = PeerFetch(0)
+    assert not fetch.should_request(3, 4, 10.0)
     now = 10.5
     for wait_s in (0.5, 1.0, 2.0, 4.0, 8.0, 8.0):
-        assert fetch.must_ask(3, 4, now)
-        fetch.record_asked(EntryId("e1"), now)
+        assert fetch.should_request(3, 4, now)
+        fetch.record_requested(EntryId("e1"), now)
         fetch.record_unusable(now)
-        assert not fetch.must_ask(3, 4, now + wait_s - 0.1)
+        assert not fetch.should_request(3, 4, now + wait_s - 0.1)
         now += wait_s
 
 
 def test_another_peer_is_asked_when_the_link_to_the_first_ends():
-    fetch = NewsFetch(0)
-    assert not fetch.must_ask(3, 4, 10.0)
-    fetch.record_asked(EntryId("e1"), 10.3)
+    fetch = PeerFetch(0)
+    assert not fetch.should_request(3, 4, 10.0)
+    fetch.record_requested(EntryId("e1"), 10.3)
     fetch.record_lost(EntryId("e2"))
-    assert not fetch.must_ask(3, 4, 10.4)
+    assert not fetch.should_request(3, 4, 10.4)
     fetch.record_lost(EntryId("e1"))
-    assert fetch.must_ask(3, 4, 10.4)
+    assert fetch.should_request(3, 4, 10.4)
 
 
 def test_a_version_that_comes_in_force_begins_the_wait_for_the_next():
-    fetch = NewsFetch(0)
-    assert not fetch.must_ask(3, 4, 10.0)
-    assert not fetch.must_ask(4, 5, 10.4)
-    assert fetch.must_ask(4, 5, 10.75)
+    fetch = PeerFetch(0)
+    assert not fetch.should_request(3, 4, 10.0)
+    assert not fetch.should_request(4, 5, 10.4)
+    assert fetch.should_request(4, 5, 10.75)
 
 
 def test_an_entry_that_knows_nothing_asks_at_once():
-    assert NewsFetch(0).must_ask(0, 1, 10.0)
+    assert PeerFetch(0).should_request(0, 1, 10.0)
 
 
 def test_an_entry_is_behind_since_it_first_heard_of_a_version_it_has_not_got():
-    heard = HeardVersions()
+    heard = PeerVersions()
     assert heard.stale_s(3, 10.0) is None
     heard.record(3, 3, 10.0)
     assert heard.stale_s(3, 10.0) is None
@@ -223,8 +224,8 @@
 
 
 def test_calls_after_one_that_heard_nothing_leave_time_for_the_answer():
-    assert longest_call_s(3.0) == 2.0
-    assert longest_call_s(2.0) == pytest.approx(2.0 - ANSWER_RESERVE_S)
+    assert max_call_s(3.0) == 2.0
+    assert max_call_s(2.0) == pytest.approx(2.0 - ANSWER_RESERVE_S)
 
 
 def test_watches_keep_a_pause_where_there_is_hardly_time_to_catch_up():
@@ -235,17 +236,19 @@
     halls = entries(300)
     many = {HallId(f"h{number}"): 200 for number in range(6)}
     one_region = RegionMap({**dict.fromkeys([*many, *halls.values()], PlaceId("r"))})
-    groups = placed_groups(ServiceId("m"), many, halls, one_region)
+    groups = placement_groups(ServiceId("m"), many, halls, one_region)
     assert len(groups) == 9
     placers = {schedulers_in_order(group, halls, one_region)[0] for group in groups}
     assert len(placers) >= 7
     found = {
-        placed_group(ServiceId("m"), many, halls, one_region, pool_key=f"part-{number}")
+        placement_group(
+            ServiceId("m"), many, halls, one_region, pool_key=f"part-{number}"
+        )
         for number in range(200)
     }
     assert found < groups
     assert len(found) == 8
-    whole = placed_group(ServiceId("m"), many, halls, one_region, pool_key="")
+    whole = placement_group(ServiceId("m"), many, halls, one_region, pool_key="")
     assert {whole} == groups - found
 
 
@@ -253,6 +256,6 @@
     halls = entries(60)
     few = {HallId("h1"): 39}
     one_region = RegionMap({**dict.fromkeys([*few, *halls.values()], PlaceId("r"))})
-    group = placed_group(ServiceId("m"), few, halls, one_region, pool_key="part")
-    assert placed_groups(ServiceId("m"), few, halls, one_region) == {group}
-    assert placed_groups(ServiceId("m"), few, entries(4), one_region) == set()
+    group = placement_group(ServiceId("m"), few, halls, one_region, pool_key="part")
+    assert placement_groups(ServiceId("m"), few, halls, one_region) == {group}
+    assert placement_groups(ServiceId("m"), few, entries(4), one_region) == set()
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_pace.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_pace.py
@@ -3,19 +3,19 @@
 import pytest
 
 from leadford.common import EntryId
-from leadford.forwarding.membership import HeardPeers, HeartbeatNews, is_due
+from leadford.forwarding.membership import HeartbeatNews, PeerLiveness, is_due
 
 HEARTBEAT_S = 0.2
 # Longest delay of a heartbeat by its random spread and a late event loop.
 MAX_DELAY_S = 0.1
 
 
-def beats(*, tells_all=False, is_scheduler=False, knows_pace=True):
+def beats(*, is_for_all_peers=False, is_scheduler=False, peer_skips_heartbeats=True):
     return [
         is_due(
-            HeartbeatNews(number, tells_all),
+            HeartbeatNews(number, is_for_all_peers),
             is_scheduler=is_scheduler,
-            knows_pace=knows_pace,
+            peer_skips_heartbeats=peer_skips_heartbeats,
         )
         for number in range(10)
     ]
@@ -26,7 +26,12 @@
 
 
 @pytest.mark.parametrize(
-    "case", [{"tells_all": True}, {"is_scheduler": True}, {"knows_pace": False}]
+    "case",
+    [
+        {"is_for_all_peers": True},
+        {"is_scheduler": True},
+        {"peer_skips_heartbeats": False},
+    ],
 )
 def test_whoever_has_to_hear_soon_gets_every_heartbeat(case):
     assert all(beats(**case))
@@ -34,13 +39,13 @@
 
 def test_an_entry_that_is_heard_every_second_time_stays_alive():
     peer = EntryId("peer")
-    heard = HeardPeers()
+    heard = PeerLiveness()
     now = 0.0
     for due in beats():
         if due:
             heard.record_heard(peer, now)
         now += HEARTBEAT_S + MAX_DELAY_S
-        heard.look(now)
+        heard.record_running(now)
         assert heard.is_live(peer, now)
 
 
--- a/packages/leadford/src/leadford/forwarding/membership/tests/test_relays.py
+++ b/packages/leadford/src/leadford/forwarding/membership/tests/test_relays.py
@@ -7,9 +7,9 @@
 from leadford.forwarding.membership import (
     PeerClock,
     follower_watch_s,
-    rest_s,
+    max_confirmation_age_s,
+    peers_to_link,
     store_followers,
-    wanted_peers,
 )
 from leadford.forwarding.routes import ServiceId
 
@@ -47,7 +47,7 @@
     halls = entries(60)
     followers = store_followers(halls, GROUPS, REGIONS)
     for entry in halls:
-        assert followers - {entry} <= wanted_peers(entry, halls, GROUPS, REGIONS)
+        assert followers - {entry} <= peers_to_link(entry, halls, GROUPS, REGIONS)
 
 
 def test_who_follows_does_not_depend_on_the_order_of_groups():
@@ -60,19 +60,19 @@
 @pytest.mark.parametrize("drawn", [0.0, 1.0])
 def test_a_confirmation_comes_before_the_others_would_ask(bound_s, drawn):
     watch_s = follower_watch_s(bound_s, bound_s + 1.0, drawn)
-    assert watch_s + 0.4 <= rest_s(bound_s)
-    assert rest_s(bound_s) <= bound_s - 0.6
+    assert watch_s + 0.4 <= max_confirmation_age_s(bound_s)
+    assert max_confirmation_age_s(bound_s) <= bound_s - 0.6
 
 
 def test_what_stood_in_a_queue_counts_as_old_as_it_is():
     clock = PeerClock()
     clock.record(100.0, 7.002)
     clock.record(103.0, 14.0)
-    assert clock.own_moment(103.0) == pytest.approx(10.002)
+    assert clock.to_local_time(103.0) == pytest.approx(10.002)
 
 
 def test_a_faster_message_shows_the_difference_better():
     clock = PeerClock()
     clock.record(100.0, 8.5)
     clock.record(101.0, 8.003)
-    assert clock.own_moment(101.0) == pytest.approx(8.003)
+    assert clock.to_local_time(101.0) == pytest.approx(8.003)
