--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -33,11 +33,11 @@
 from leadford_server.forwarding.batching import StageRunner
 from leadford_server.forwarding.membership import EntryLinks, EntryMembers
 from leadford_server.forwarding.store import (
-    ENTRIES_KNOWN_S,
+    ENTRIES_CHANGE_BOUND_S,
     ENTRIES_PAUSE_S,
     ENTRIES_WATCH_S,
-    WATCH_PART,
-    WATCH_S,
+    WATCH_FRACTION,
+    WATCH_MAX_S,
     ConfigHolder,
     FollowerFactory,
     HallsHolder,
@@ -107,7 +107,7 @@
             serve=self._serve,
             is_draining=lambda: self.is_draining_,
             on_fault=self._on_fault,
-            on_denied=self._on_denied,
+            on_rejected=self._on_denied,
         )
         self.caller_server_.start(settings.callers.host, settings.callers.port)
         self._start_ready_server()
@@ -141,7 +141,7 @@
             objects=self.objects,
             state=state,
             on_change=self.stages_.scheduler_.dispatch_all,
-            tell=lambda report: self.links_.tell_all(report),
+            tell=lambda report: self.links_.send_evacuations(report),
         )
         self.members_ = EntryMembers(
             own=KnownEntry(settings.entry_id, str(settings.peers), settings.hall),
@@ -196,41 +196,41 @@
             relays=self.links_.relays,
         )
         followers = [
-            factory.relayed(
+            factory.make_relayed_follower(
                 objects.config_kind,
                 self.config_,
                 bound_s=lambda: self.settings.bounds.update_limit_s(
                     self.settings.bounds.config_s
                 ),
-                watch_s=lambda: factory.shared_watch_s(WATCH_S),
+                watch_s=lambda: factory.shared_watch_timeout_s(WATCH_MAX_S),
                 on_relayed=self.config_.on_relayed,
-                is_told_by_version=True,
+                confirms_by_version=True,
             ),
-            factory.relayed(
+            factory.make_relayed_follower(
                 objects.endpoints_kind,
                 self.listing_,
                 bound_s=lambda: self.settings.bounds.update_limit_s(
                     self.settings.bounds.drain_s
                 ),
-                watch_s=lambda: factory.shared_watch_s(WATCH_S),
+                watch_s=lambda: factory.shared_watch_timeout_s(WATCH_MAX_S),
             ),
-            factory.relayed(
+            factory.make_relayed_follower(
                 objects.entries_kind,
                 self.members_,
-                bound_s=lambda: ENTRIES_KNOWN_S,
+                bound_s=lambda: ENTRIES_CHANGE_BOUND_S,
                 watch_s=lambda: ENTRIES_WATCH_S,
                 changes_pause_s=ENTRIES_PAUSE_S,
             ),
         ]
         evacuate_s = self.settings.bounds.evacuate_s
         if evacuate_s is not None:
-            min_watch_s = WATCH_PART * evacuate_s
+            min_watch_s = WATCH_FRACTION * evacuate_s
             followers.append(
-                factory.relayed(
+                factory.make_relayed_follower(
                     objects.evacuations_kind,
                     self.halls_,
                     bound_s=lambda: self.settings.bounds.update_limit_s(evacuate_s),
-                    watch_s=lambda: factory.shared_watch_s(min_watch_s),
+                    watch_s=lambda: factory.shared_watch_timeout_s(min_watch_s),
                 )
             )
         return followers
@@ -289,7 +289,7 @@
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             known = self.state_.roster_.known_ids()
-            self.state_.pool_.sweep(known)
+            self.state_.pool_.close_idle(known)
             self.state_.engines_.retain(known)
             self.state_.cold_endpoints_.retain(known)
             self.state_.endpoint_limits_.retain(known, self.state_.now())
@@ -310,7 +310,7 @@
         self.log_.report(Event.PROCESS_WOKEN, slept_ms=round(slept_s * 1_000.0))
         self.state_.deadlines_.reschedule_all()
         for follower in self.followers_:
-            follower.doubt()
+            follower.mark_unconfirmed()
 
     def settings_changed(self) -> None:
         """Read the settings again; keep the current ones if that fails."""
@@ -354,7 +354,9 @@
 
     def _live_count(self) -> int:
         """Return how many requests and calls for pieces of any entry are under way."""
-        return self.caller_server_.live + self.stages_.scheduler_.calls_under_way
+        return (
+            self.caller_server_.pending_count + self.stages_.scheduler_.calls_under_way
+        )
 
     def stop(self) -> None:
         """Stop at once, even if requests are under way."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_progress.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_progress.py
@@ -55,7 +55,7 @@
         self.retry_reason_: RetryReason | None = None
         self.end_ = RequestEnd()
         # Written by the attempts.
-        self.tried_: list[EndpointId] = []
+        self.tried_endpoint_ids_: list[EndpointId] = []
         # Written when the answer begins.
         self.first_byte_at_: float | None = None
         self.model_version_: int | None = None
@@ -84,7 +84,7 @@
             self.longest_pause_s_ = max(self.longest_pause_s_, pause_s)
         self.last_event_at_ = now
 
-    def end_without_caller(self) -> None:
+    def record_caller_gone(self) -> None:
         """Record that the caller left, whatever else was recorded before."""
         self.end_ = msgspec.structs.replace(
             self.end_,
@@ -117,7 +117,7 @@
         **_match_fields(match, request.piece_counts),
         fingerprint=request.fingerprint,
         digest=progress.digest_,
-        endpoints=",".join(progress.tried_),
+        endpoints=",".join(progress.tried_endpoint_ids_),
         status=end.status,
         outcome=end.outcome.value,
         reason=end.reason.value,
--- a/packages/leadford-server/src/leadford_server/forwarding/_store_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_store_contract.py
@@ -108,7 +108,7 @@
     evacuations_kind: str
 
     def list_path(
-        self, kind: str, after: str | None, *, may_be_old: bool = False
+        self, kind: str, after: str | None, *, may_be_stale: bool = False
     ) -> str:
         """Return the path of a page of objects, which may be seconds old."""
 
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_callers.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_callers.py
@@ -96,7 +96,7 @@
     def _deny(self, status: int) -> None:
         """Reject a request that exceeds the limits before it is complete."""
         self.answer(status, self.server.codec.refusal(None))
-        self.server.on_denied(self, status)
+        self.server.on_rejected(self, status)
 
     def finish(self) -> None:
         """Record that the request is complete, and serve it.
@@ -109,7 +109,7 @@
             return
         self.request_.body = b"".join(self.chunks_)
         self.chunks_.clear()
-        self.connection.set_close_callback(self._on_caller_left)
+        self.connection.set_close_callback(self._on_caller_disconnected)
         self.task_ = asyncio.ensure_future(self.server.serve(self))
         self.task_.add_done_callback(self._on_served)
 
@@ -122,7 +122,7 @@
         self.is_over_ = True
         self.server.exchanges_.discard(self)
 
-    def _on_caller_left(self) -> None:
+    def _on_caller_disconnected(self) -> None:
         if self.task_ is not None and not self.is_over_:
             self.task_.cancel()
 
@@ -233,13 +233,13 @@
         serve: Callable[[CallerExchange], Coroutine[None, None, None]],
         is_draining: Callable[[], bool],
         on_fault: Callable[[CallerExchange, BaseException], None],
-        on_denied: Callable[[CallerExchange, int], None],
+        on_rejected: Callable[[CallerExchange, int], None],
     ) -> None:
         self.codec = codec
         self.serve = serve
         self.is_draining = is_draining
         self.on_fault = on_fault
-        self.on_denied = on_denied
+        self.on_rejected = on_rejected
         self.limits_ = TrafficLimits()
         self.exchanges_: set[CallerExchange] = set()
         self.streams_: WeakSet[iostream.IOStream] = WeakSet()
@@ -306,7 +306,7 @@
         return any(item.connection.stream is stream for item in self.exchanges_)
 
     @property
-    def live(self) -> int:
+    def pending_count(self) -> int:
         """Return the number of running requests plus that of unsent answers."""
         unsent_count = sum(stream.writing() for stream in self.streams_)
         return len(self.exchanges_) + unsent_count
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_event_relay.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_event_relay.py
@@ -40,7 +40,7 @@
 
         Units: seconds of the monotonic clock.
         """
-        attempt = len(self.progress.tried_) + 1
+        attempt = len(self.progress.tried_endpoint_ids_) + 1
         return self._limit_at(attempt, self.attempts.choice.endpoints_left())
 
     def _limit_at(self, attempt: int, endpoints_left: int) -> float:
@@ -64,7 +64,7 @@
                 # Events are frequent, so other endpoints are looked up only after a
                 # timeout.
                 limit_at = self._limit_at(
-                    len(self.progress.tried_), MIN_ENDPOINTS_FOR_RETRY
+                    len(self.progress.tried_endpoint_ids_), MIN_ENDPOINTS_FOR_RETRY
                 )
                 async with asyncio.timeout_at(limit_at):
                     data = await attempt.answer.read_more()
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_plain.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_plain.py
@@ -72,7 +72,7 @@
         """
         match = self.progress.match_
         timing = AttemptTiming(
-            len(self.progress.tried_) + 1,
+            len(self.progress.tried_endpoint_ids_) + 1,
             self.state.now(),
             self.progress.deadline_,
             self.attempts.choice.endpoints_left(),
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
@@ -88,7 +88,7 @@
                 await self._serve_within_deadline()
         except (asyncio.CancelledError, CallerDisconnected):
             # The exchange cancels this task when its caller leaves.
-            self.progress.end_without_caller()
+            self.progress.record_caller_gone()
             self.exchange.abort()
         except Exception as error:
             # The caller gets a final answer after any error; the exchange logs it.
@@ -181,7 +181,11 @@
     def _end_out_of_time(self) -> None:
         """End a request that is past its deadline or that a planned stop cuts short."""
         is_late = self.attempts.is_out_of_time()
-        if is_late or self.progress.tried_ or self.state.stop_began_at_ is None:
+        if (
+            is_late
+            or self.progress.tried_endpoint_ids_
+            or self.state.stop_began_at_ is None
+        ):
             self.answer.end(EndReason.OUT_OF_TIME, "out of time")
             return
         detail = DETAIL_BY_DENIAL[StartDenial.STOPPING]
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
@@ -81,7 +81,7 @@
         if not decision.may_reuse_endpoint:
             return True
         self.progress.input_remakes_ += 1
-        self.progress.tried_.pop()
+        self.progress.tried_endpoint_ids_.pop()
         self.inputs.drop_final_inputs()
         return await self.make_inputs()
 
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_stages.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_stages.py
@@ -276,7 +276,7 @@
             return
         if answer.failure is PieceFailure.LOST and answer.endpoint_id is not None:
             # Other requests with pieces in the same call get a case as well.
-            self.state.quarantine_.record_lost(
+            self.state.quarantine_.record_connection_lost(
                 job.digest, answer.endpoint_id, is_under_way=False
             )
         if self.state.quarantine_.verdict(job.digest).refuses:
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_pool.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_pool.py
@@ -118,7 +118,7 @@
                 waiter.set_result(None)
                 return
 
-    def sweep(self, known_ids: set[EndpointId]) -> None:
+    def close_idle(self, known_ids: set[EndpointId]) -> None:
         """Close connections that were idle for too long or whose endpoint has left."""
         now = self.loop.time()
         for endpoint_id, connections in list(self.connections_by_id_.items()):
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/tests/test_connection.py
@@ -199,7 +199,7 @@
             assert await third is first
             pool.release(record, second)
             assert endpoint.connections == 2
-            pool.sweep(set())
+            pool.close_idle(set())
             assert pool.connections_by_id_["e"].open_count_ == 1
 
     run(scenario())
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_crashes.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_crashes.py
@@ -45,7 +45,7 @@
 
     def send_known(self, peer: PeerConnection) -> None:
         """Send a new peer all that is known."""
-        known = self.state.quarantine_.known()
+        known = self.state.quarantine_.news_for_new_peer()
         if known is not None and _supports_crash_news(peer):
             peer.send(known)
 
@@ -61,7 +61,7 @@
                 peer.send(news)
 
     def _on_news(self, peer: PeerConnection, message: CrashNews) -> None:
-        news = self.state.quarantine_.learn(message)
+        news = self.state.quarantine_.apply_news(message)
         if news is not None and self.forwards_news():
             self.tell(news)
 
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_heartbeats.py
@@ -98,7 +98,7 @@
         self.entry_id = entry_id
         self.state = state
         self.stages = stages
-        self.made_ = 0
+        self.heartbeat_count_ = 0
 
     def next(
         self,
@@ -117,14 +117,14 @@
         message = self.make(
             groups, is_draining=is_draining, lowest_version=lowest_version
         )
-        self.made_ += 1
+        self.heartbeat_count_ += 1
         return Heartbeat(
             message=message,
             backlog=self.make_backlog(groups),
             confirmations=confirmations,
             confirmed_version=confirmed_version,
             limits=self.make_limits(),
-            number=self.made_,
+            number=self.heartbeat_count_,
             scheduler_ids={self.stages.groups.scheduler_of(group) for group in groups},
         )
 
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -109,9 +109,9 @@
         self.crashes = CrashExchange(
             state=state,
             peers_by_id=self.peers_by_id_,
-            forwards_news=lambda: self.relays.follows,
+            forwards_news=lambda: self.relays.is_follower,
         )
-        state.quarantine_.on_news = self.crashes.tell
+        state.quarantine_.publish_news = self.crashes.tell
         self.placing = EnginePlacing(
             state=state,
             peers_by_id=self.peers_by_id_,
@@ -277,7 +277,7 @@
         if handler is not None:
             handler(peer, message)
 
-    def tell_all(self, report: EvacuationReport) -> None:
+    def send_evacuations(self, report: EvacuationReport) -> None:
         """Send every peer the evacuated halls."""
         for peer in list(self.peers_by_id_.values()):
             self._tell_evacuations(peer, report)
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_members.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_members.py
@@ -18,7 +18,11 @@
     ObjectEvent,
     StoreFailure,
 )
-from leadford_server.forwarding.store import Listing, ObjectsClient, readable_record
+from leadford_server.forwarding.store import (
+    Listing,
+    ObjectsClient,
+    decoded_record_or_none,
+)
 
 # Base pause between attempts to register this entry in the store, and the range of the
 # random factor of each pause.
@@ -150,7 +154,7 @@
             return
 
     def _read(self, item: dict) -> None:
-        entry = readable_record(
+        entry = decoded_record_or_none(
             self.objects.read_entry(item),
             self.objects.object_name(item),
             self.client.log,
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
@@ -79,12 +79,12 @@
         self.follower_by_kind_[follower.kind] = follower
 
     @property
-    def follows(self) -> bool:
+    def is_follower(self) -> bool:
         """Return whether this entry follows the store."""
         return self.state.entry_id in self.followers()
 
     @property
-    def others_rest(self) -> bool:
+    def has_passive_entries(self) -> bool:
         """Return whether some entries learn of changes only from others."""
         return len(self.followers()) < self.entry_count()
 
@@ -109,7 +109,9 @@
         thousand endpoints that start shrink from 254 kB to 20 kB in 2.3 ms, and unpack
         in 1.4 ms.
         """
-        if kind == self.config_kind or not (self.follows and self.others_rest):
+        if kind == self.config_kind or not (
+            self.is_follower and self.has_passive_entries
+        ):
             return
         changes = [
             StoreChange(_encoded(event.item), event.is_gone, event.seen_revision)
@@ -127,7 +129,7 @@
 
     def confirmations(self) -> StoreConfirmations | None:
         """Return what the store has confirmed, if this entry follows it for others."""
-        if not (self.follows and self.others_rest):
+        if not (self.is_follower and self.has_passive_entries):
             return None
         kinds = []
         for kind, follower in self.follower_by_kind_.items():
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_relays.py
@@ -64,7 +64,7 @@
     def revision(self, now):
         return 6 if now >= self.changed_at else 5
 
-    async def call(self, path, wait_s, margin_s, unanswered_from):
+    async def call(self, path, wait_s, first_byte_timeout_s, unanswered_from):
         loop = asyncio.get_running_loop()
         self.calls += 1
         now = loop.time()
@@ -77,7 +77,7 @@
         if now < self.changed_at <= ends_at:
             ends_at = self.changed_at
         if ends_at + ANSWER_S >= unanswered_from:
-            await asyncio.sleep(wait_s + margin_s)
+            await asyncio.sleep(wait_s + first_byte_timeout_s)
             return Failure(StoreFailure.NO_ANSWER)
         await asyncio.sleep(ends_at + ANSWER_S - now)
         revision = self.revision(ends_at)
@@ -98,8 +98,10 @@
         self.store = store
         self.unanswered_from = unanswered_from
 
-    async def call(self, path, *, wait_s=0.0, margin_s=1.5, is_fresh=False):
-        return await self.store.call(path, wait_s, margin_s, self.unanswered_from)
+    async def call(self, path, *, wait_s=0.0, first_byte_timeout_s=1.5, is_fresh=False):
+        return await self.store.call(
+            path, wait_s, first_byte_timeout_s, self.unanswered_from
+        )
 
 
 class Entry:
@@ -132,7 +134,7 @@
             live_peers=lambda: 8,
             relays=self.relays,
         )
-        self.follower = factory.relayed(
+        self.follower = factory.make_relayed_follower(
             KIND, self, bound_s=lambda: BOUNDS.drain_s, watch_s=lambda: 1.8
         )
 
@@ -377,7 +379,7 @@
         def revision(self, now):
             return super().revision(now) + int(now * 10.0)
 
-        async def call(self, path, wait_s, margin_s, unanswered_from):
+        async def call(self, path, wait_s, first_byte_timeout_s, unanswered_from):
             loop = asyncio.get_running_loop()
             self.calls += 1
             await asyncio.sleep(wait_s + ANSWER_S)
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
@@ -94,7 +94,7 @@
             answer = await self._send(record, connection, limit_at)
         except ExchangeBroken as failure:
             if failure.kind is BreakKind.LOST:
-                self.evidence.record_lost(borrowed, has_head=False)
+                self.evidence.record_connection_lost(borrowed, has_head=False)
             self._abandon(record, connection)
             self.evidence.record_failure(record, _FAILURE_BY_BREAK[failure.kind])
             if failure.kind is BreakKind.NOT_SENT:
@@ -150,7 +150,7 @@
             # Nothing was sent, so the connection can be used again.
             self._count_end(record)
             self.state.pool_.release(record, connection)
-            self.progress.tried_.pop()
+            self.progress.tried_endpoint_ids_.pop()
             if is_refused:
                 raise NotRun("quarantined")
 
@@ -178,7 +178,7 @@
             may_have_run=progress.may_have_run_,
             is_repeatable=route.is_repeatable,
             can_remake_inputs=route.kind is RouteKind.STREAM and bool(route.stages),
-            attempts=len(progress.tried_),
+            attempts=len(progress.tried_endpoint_ids_),
             attempts_max=route.attempts_max,
             input_remakes=progress.input_remakes_,
             now=self.state.now(),
@@ -195,7 +195,7 @@
             self.state.log.report(
                 Event.ATTEMPT_RETRIED,
                 request=progress.request.request_id,
-                attempt=len(progress.tried_),
+                attempt=len(progress.tried_endpoint_ids_),
                 reason=detail[:MAX_LOGGED_DETAIL_CHARS],
             )
         return decision
@@ -226,7 +226,7 @@
 
     def _count_begin(self, record: EndpointRecord) -> float:
         """Count an attempt that starts now, and return the current time."""
-        self.progress.tried_.append(record.listed.endpoint_id)
+        self.progress.tried_endpoint_ids_.append(record.listed.endpoint_id)
         self.inputs.record_attempt()
         began_at = self.state.now()
         record.in_flight_ += 1
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_choice.py
@@ -38,7 +38,7 @@
         service = self.progress.match_.service
         now = state.now()
         records = self._records()
-        tried = self.progress.tried_
+        tried = self.progress.tried_endpoint_ids_
         if self.runs_apart:
             return self._choose_apart(records, now)
         if service.engine is not None:
@@ -62,7 +62,7 @@
 
         The count stops at `MIN_ENDPOINTS_FOR_RETRY`; a larger one makes no difference.
         """
-        tried = self.progress.tried_
+        tried = self.progress.tried_endpoint_ids_
         service_id = self.progress.match_.service.service_id
         count = 0
         for record in self.state.usable(service_id):
@@ -82,7 +82,7 @@
         self, records: Sequence[EndpointRecord], now: float
     ) -> EndpointRecord | None:
         """Return an endpoint with the fewest other suspected requests."""
-        tried = self.progress.tried_
+        tried = self.progress.tried_endpoint_ids_
         untried = [r for r in records if r.listed.endpoint_id not in tried]
         trusted = [record for record in untried if not record.is_suspect(now)]
         by_id = {record.listed.endpoint_id: record for record in trusted or untried}
@@ -138,7 +138,10 @@
         placed = await self.state.placing_.place(
             self.progress.match_.service.service_id,
             self.progress.request.prompt,
-            excluded={*self.progress.tried_, *self._excluded_from_placement()},
+            excluded={
+                *self.progress.tried_endpoint_ids_,
+                *self._excluded_from_placement(),
+            },
             bytes_by_hall=self.inputs.bytes_by_hall(),
         )
         if placed is None:
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_evidence.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_evidence.py
@@ -58,12 +58,14 @@
         """
         if not attempt.answer.reader.is_broken_:
             return
-        self.record_lost(
+        self.record_connection_lost(
             BorrowedConnection(attempt.record, attempt.connection, attempt.began_at),
             has_head=True,
         )
 
-    def record_lost(self, lost: BorrowedConnection, *, has_head: bool) -> None:
+    def record_connection_lost(
+        self, lost: BorrowedConnection, *, has_head: bool
+    ) -> None:
         """Record and log that the connection of an attempt ended before its answer did.
 
         The log line is the only record of which requests ran at an endpoint that
@@ -87,6 +89,6 @@
             ran_ms=round((now - lost.began_at) * 1_000.0),
         )
         if end in PROCESS_EXIT_ENDS:
-            self.state.quarantine_.record_lost(
+            self.state.quarantine_.record_connection_lost(
                 progress.digest_, listed.endpoint_id, is_under_way=has_events
             )
--- a/packages/leadford-server/src/leadford_server/forwarding/store/__init__.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/__init__.py
@@ -6,28 +6,28 @@
 from leadford_server.forwarding.store._base import Listing
 from leadford_server.forwarding.store._client import (
     ObjectsClient,
-    readable,
-    readable_record,
+    decoded_or_none,
+    decoded_record_or_none,
     report_unreadable,
 )
 from leadford_server.forwarding.store._config import ConfigHolder
 from leadford_server.forwarding.store._factory import FollowerFactory
 from leadford_server.forwarding.store._follow import (
-    ENTRIES_KNOWN_S,
+    ENTRIES_CHANGE_BOUND_S,
     ENTRIES_PAUSE_S,
     ENTRIES_WATCH_S,
-    WATCH_S,
+    WATCH_MAX_S,
     KindFollower,
 )
 from leadford_server.forwarding.store._halls import (
-    WATCH_PART,
+    WATCH_FRACTION,
     HallsHolder,
 )
 from leadford_server.forwarding.store._listing import ListingHolder
 
 __all__ = [
     "ConfigHolder",
-    "ENTRIES_KNOWN_S",
+    "ENTRIES_CHANGE_BOUND_S",
     "ENTRIES_PAUSE_S",
     "ENTRIES_WATCH_S",
     "FollowerFactory",
@@ -36,9 +36,9 @@
     "Listing",
     "ListingHolder",
     "ObjectsClient",
-    "WATCH_PART",
-    "WATCH_S",
-    "readable",
-    "readable_record",
+    "WATCH_FRACTION",
+    "WATCH_MAX_S",
+    "decoded_or_none",
+    "decoded_record_or_none",
     "report_unreadable",
 ]
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
@@ -26,11 +26,11 @@
 from leadford_server.web import NO_ANSWER, Patience, Transferred, fetch_while_arriving
 
 # Timeouts of a call until the first byte of the response, and of its connection.
-CALL_S = 1.5
-CONNECT_S = 0.6
+FIRST_BYTE_TIMEOUT_S = 1.5
+CONNECT_TIMEOUT_S = 0.6
 # Timeout between two bytes of a response that has begun to arrive, and the limit for
 # the whole response.
-STALL_S = 1.0
+STALL_TIMEOUT_S = 1.0
 ANSWER_MAX_S = 20.0
 # An error message is cut to this length in a log line.
 FAULT_LOGGED_MAX_CHARS = 300
@@ -71,7 +71,7 @@
         method: str = "GET",
         body: bytes | None = None,
         wait_s: float = 0.0,
-        margin_s: float = CALL_S,
+        first_byte_timeout_s: float = FIRST_BYTE_TIMEOUT_S,
         is_fresh: bool = False,
     ) -> Result[StoreAnswer, StoreFailure]:
         """Return a successful response, or the reason why there is none.
@@ -87,18 +87,18 @@
             decompress_response=False,
         )
         patience = Patience(
-            connect_s=CONNECT_S,
-            first_s=wait_s + margin_s,
-            stall_s=STALL_S,
+            connect_s=CONNECT_TIMEOUT_S,
+            first_s=wait_s + first_byte_timeout_s,
+            stall_s=STALL_TIMEOUT_S,
             whole_s=wait_s + ANSWER_MAX_S,
         )
         answer = await fetch_while_arriving(
             self.http, request, patience, is_fresh=is_fresh
         )
         kind = "watch" if wait_s else "read" if method == "GET" else "write"
-        return self._sort(path, kind, answer)
+        return self._handle_response(path, kind, answer)
 
-    def _sort(
+    def _handle_response(
         self, path: str, kind: str, answer: Transferred
     ) -> Result[StoreAnswer, StoreFailure]:
         """Count a response and return it, or the failure that its status stands for."""
@@ -157,7 +157,7 @@
         )
 
 
-def readable(read: Result[T, str], log: EventLog) -> T | None:
+def decoded_or_none(read: Result[T, str], log: EventLog) -> T | None:
     """Return what a codec has decoded; log an object that cannot be decoded."""
     if isinstance(read, Failure):
         log.report(
@@ -167,7 +167,7 @@
     return read.unwrap()
 
 
-def readable_record(read: Result[T, str], name: str, log: EventLog) -> T | None:
+def decoded_record_or_none(read: Result[T, str], name: str, log: EventLog) -> T | None:
     """Return a record that a codec has decoded; log and count an unreadable one."""
     if isinstance(read, Failure):
         report_unreadable(read.failure(), log, name=name)
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_config.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_config.py
@@ -12,7 +12,7 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding._store_contract import ObjectCodec, ObjectEvent
 from leadford_server.forwarding.store._base import Listing
-from leadford_server.forwarding.store._client import FROM_STORE, readable
+from leadford_server.forwarding.store._client import FROM_STORE, decoded_or_none
 
 
 class ConfigHolder:
@@ -74,6 +74,6 @@
     def _read(self, item: dict) -> None:
         if self.objects.object_name(item) != self.objects.config_name:
             return
-        config = readable(self.objects.read_config(item), self.state.log)
+        config = decoded_or_none(self.objects.read_config(item), self.state.log)
         if config is not None:
             self.apply(config, FROM_STORE)
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_factory.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_factory.py
@@ -26,8 +26,8 @@
 class Relays(Protocol):
     """Pass changes in the store on, and know which entries follow it."""
 
-    follows: bool
-    others_rest: bool
+    is_follower: bool
+    has_passive_entries: bool
 
     def add(self, follower: KindFollower) -> None:
         """Pass a follower's changes on, and give it those from other entries."""
@@ -39,8 +39,8 @@
 class NoRelays:
     """Pass nothing on, where each entry follows the store itself."""
 
-    follows = True
-    others_rest = False
+    is_follower = True
+    has_passive_entries = False
 
     def add(self, follower: KindFollower) -> None:
         """Do nothing: a follower needs no relay."""
@@ -74,7 +74,7 @@
         self.live_peers = live_peers
         self.relays = relays
 
-    def relayed(
+    def make_relayed_follower(
         self,
         kind: str,
         owner: KindOwner,
@@ -83,7 +83,7 @@
         watch_s: Callable[[], float],
         on_relayed: Callable[[float], None] = ignore_relayed,
         changes_pause_s: float = CHANGES_PAUSE_S,
-        is_told_by_version: bool = False,
+        confirms_by_version: bool = False,
     ) -> KindFollower:
         """Create a follower of a kind that a few entries follow for all others.
 
@@ -98,17 +98,17 @@
             watch_s=lambda: self._relayed_watch_s(bound_s(), watch_s),
             call_s=lambda: max_call_s(self.bounds().resync_s),
             max_confirmation_age_s=lambda: (
-                0.0 if self.relays.follows else max_confirmation_age_s(bound_s())
+                0.0 if self.relays.is_follower else max_confirmation_age_s(bound_s())
             ),
             tell=self.relays.tell,
             on_relayed=on_relayed,
             changes_pause_s=changes_pause_s,
-            is_told_by_version=is_told_by_version,
+            confirms_by_version=confirms_by_version,
         )
         self.relays.add(follower)
         return follower
 
-    def shared_watch_s(self, min_s: float) -> float:
+    def shared_watch_timeout_s(self, min_s: float) -> float:
         """Return how long a watch waits where all entries follow and share changes."""
         return watch_s(
             min_s,
@@ -120,7 +120,7 @@
     def _relayed_watch_s(
         self, bound_s: float, own_watch_s: Callable[[], float]
     ) -> float:
-        if not self.relays.others_rest:
+        if not self.relays.has_passive_entries:
             return own_watch_s()
         resync_s = self.bounds().resync_s
         return follower_watch_s(bound_s, resync_s, self.random.random())
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
@@ -32,20 +32,20 @@
 )
 from leadford_server.forwarding.store._client import (
     ObjectsClient,
-    readable,
+    decoded_or_none,
     report_unreadable,
 )
 from leadford_server.metrics import STORE_CHANGES_TOTAL, STORE_CONFIRM_GAP_SECONDS
 
 # Longest wait of a watch in the store where no peers pass changes on.
-WATCH_S = 1.8
+WATCH_MAX_S = 1.8
 # The same for the list of entries, on which nothing urgent depends: heartbeats between
 # peers show who is alive. A third of the watches then end 5.6 times less often, and
 # each end of a watch has a cost.
 ENTRIES_WATCH_S = 10.0
 # Time within which entries that do not follow the store know of a change in the list of
 # entries: the length of a watch and a margin.
-ENTRIES_KNOWN_S = 12.0
+ENTRIES_CHANGE_BOUND_S = 12.0
 # Minimum time from the start of a watch that returned changes to the next watch. This
 # batches changes that follow each other: each end of a watch costs every entry.
 CHANGES_PAUSE_S = 0.25
@@ -74,8 +74,9 @@
     returns for how many seconds after a confirmation this entry makes no calls, 0 where
     it follows the store itself. `tell` receives the changes that the store sent to this
     entry; `on_relayed` receives the time at which the store confirmed to another entry
-    that this one is current. With `is_told_by_version` other entries identify what they
-    know by a version of the object, which stays valid over all histories of the store.
+    that this one is current. With `confirms_by_version` other entries identify what
+    they know by a version of the object, which stays valid over all histories of the
+    store.
     """
 
     def __init__(
@@ -91,10 +92,10 @@
         tell: Callable[[str, StorePosition, ObjectEvents], None] = discard_changes,
         on_relayed: Callable[[float], None] = ignore_relayed,
         changes_pause_s: float = CHANGES_PAUSE_S,
-        is_told_by_version: bool = False,
+        confirms_by_version: bool = False,
     ) -> None:
         self.changes_pause_s = changes_pause_s
-        self.is_told_by_version = is_told_by_version
+        self.confirms_by_version = confirms_by_version
         self.watch_s = watch_s
         self.call_s = call_s
         self.max_confirmation_age_s = max_confirmation_age_s
@@ -139,7 +140,7 @@
 
     def _on_epoch(self) -> None:
         """Schedule a new listing, spread over time among the entries that rest."""
-        if self.is_told_by_version or self.max_confirmation_age_s() <= 0.0:
+        if self.confirms_by_version or self.max_confirmation_age_s() <= 0.0:
             return
         pause_s = self.random.uniform(0.0, RELIST_SPREAD_S)
         asyncio.get_running_loop().call_later(pause_s, self._list_anew)
@@ -170,7 +171,7 @@
                 await asyncio.wait_for(self.poll_requested_.wait(), left_s)
         self.poll_requested_.clear()
 
-    def doubt(self) -> None:
+    def mark_unconfirmed(self) -> None:
         """Call the store at once, on a new connection: the known state may be old.
 
         A call in progress goes on; it ends by the monotonic clock, within the time of a
@@ -220,8 +221,8 @@
     async def _list(self) -> bool:
         # The first listing may be seconds old: such a listing costs a tenth, and the
         # call for changes that follows at once returns what is missing.
-        may_be_old = not self.needs_fresh_listing_
-        listing = await self._read_pages(may_be_old=may_be_old)
+        may_be_stale = not self.needs_fresh_listing_
+        listing = await self._read_pages(may_be_stale=may_be_stale)
         if listing is None:
             return False
         position = listing.position
@@ -235,14 +236,14 @@
             objects=len(listing.items),
         )
         self.owner.on_list(listing)
-        self.may_be_old_ = may_be_old
+        self.may_be_old_ = may_be_stale
         self.position_ = position
         self.changed_position_ = position
-        if not may_be_old:
+        if not may_be_stale:
             self._confirm(position)
         return True
 
-    async def _read_pages(self, *, may_be_old: bool) -> Listing | None:
+    async def _read_pages(self, *, may_be_stale: bool) -> Listing | None:
         """Return all objects of the kind, or None if a page cannot be had."""
         codec = self.client.codec
         items: list[dict] = []
@@ -250,8 +251,8 @@
         position: StorePosition | None = None
         while True:
             read = await self.client.call(
-                codec.list_path(self.kind, after, may_be_old=may_be_old),
-                margin_s=self.call_s(),
+                codec.list_path(self.kind, after, may_be_stale=may_be_stale),
+                first_byte_timeout_s=self.call_s(),
                 is_fresh=self.client.is_silent_,
             )
             if isinstance(read, Failure):
@@ -261,7 +262,7 @@
                 return None
             answer = read.unwrap()
             # The pause after a failure bounds the log lines about unreadable pages.
-            page = readable(codec.read_list(answer.body), self.client.log)
+            page = decoded_or_none(codec.read_list(answer.body), self.client.log)
             if page is None:
                 return None
             self._report(page.faults)
@@ -292,7 +293,7 @@
         if answer.epoch != asked_from.epoch:
             # Changes in another history do not follow from the known state.
             return True
-        read_events = readable(codec.read_events(answer.body), self.client.log)
+        read_events = decoded_or_none(codec.read_events(answer.body), self.client.log)
         if read_events is None:
             self.position_ = None
             return False
@@ -326,12 +327,15 @@
         wait_s = 0.0 if returns_at_once else self.watch_s()
         # A silent store never answers a pending call, not even once it is back; so the
         # next call has to follow soon, also where a slow store is given more time.
-        margin_s = WATCH_MARGIN_S if wait_s > 0.0 else self.call_s()
+        first_byte_timeout_s = WATCH_MARGIN_S if wait_s > 0.0 else self.call_s()
         path = self.client.codec.watch_path(
             self.kind, self.position_.revision, round(wait_s * 1_000.0)
         )
         return await self.client.call(
-            path, wait_s=wait_s, margin_s=margin_s, is_fresh=reconnects
+            path,
+            wait_s=wait_s,
+            first_byte_timeout_s=first_byte_timeout_s,
+            is_fresh=reconnects,
         )
 
     def _report(self, faults: Sequence[str]) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
@@ -16,11 +16,11 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding._store_contract import ObjectCodec, ObjectEvent
 from leadford_server.forwarding.store._base import Listing
-from leadford_server.forwarding.store._client import FROM_STORE, readable_record
+from leadford_server.forwarding.store._client import FROM_STORE, decoded_record_or_none
 
 # Wait of a watch in the store, as a fraction of the bound on evacuations. A watch that
 # gets no response then ends, and the next one is answered, well within the bound.
-WATCH_PART = 0.4
+WATCH_FRACTION = 0.4
 
 
 class HallsHolder:
@@ -138,7 +138,7 @@
                 record.record_cold(now + limits.lasts_s)
 
     def _read(self, item: dict, epoch: StoreEpoch) -> HallNotice | None:
-        notice = readable_record(
+        notice = decoded_record_or_none(
             self.objects.read_evacuation(item),
             self.objects.object_name(item),
             self.state.log,
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_listing.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_listing.py
@@ -12,7 +12,7 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding._store_contract import ObjectCodec, ObjectEvent
 from leadford_server.forwarding.store._base import Listing
-from leadford_server.forwarding.store._client import readable_record
+from leadford_server.forwarding.store._client import decoded_record_or_none
 
 
 class ListingHolder:
@@ -72,7 +72,7 @@
             record.record_listed_cold(endpoint, self.state.now())
 
     def _read(self, item: dict, epoch: StoreEpoch) -> ListedEndpoint | None:
-        endpoint = readable_record(
+        endpoint = decoded_record_or_none(
             self.objects.read_endpoint(item),
             self.objects.object_name(item),
             self.state.log,
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
@@ -38,7 +38,7 @@
         self.waits_ = []
         self.fresh_ = []
 
-    async def call(self, path, *, wait_s, margin_s, is_fresh):
+    async def call(self, path, *, wait_s, first_byte_timeout_s, is_fresh):
         self.waits_.append(wait_s)
         self.fresh_.append(is_fresh)
         return self.answers.pop(0)
@@ -99,10 +99,13 @@
 
 def test_the_time_between_confirmations_is_counted_by_kind():
     class SlowClient(Client):
-        async def call(self, path, *, wait_s, margin_s, is_fresh):
+        async def call(self, path, *, wait_s, first_byte_timeout_s, is_fresh):
             await asyncio.sleep(3.2)
             return await super().call(
-                path, wait_s=wait_s, margin_s=margin_s, is_fresh=is_fresh
+                path,
+                wait_s=wait_s,
+                first_byte_timeout_s=first_byte_timeout_s,
+                is_fresh=is_fresh,
             )
 
     client = SlowClient([NO_NEWS, NO_NEWS])
@@ -153,7 +156,7 @@
     async def sort_each():
         found = []
         for status in (503, 599, 410, 599, 200):
-            client._sort("path", "watch", Transferred(status, b"", 1.0))
+            client._handle_response("path", "watch", Transferred(status, b"", 1.0))
             found.append(client.is_silent_)
         return found
 
@@ -166,11 +169,11 @@
     factory = FollowerFactory(
         client=client, random=Random(1), bounds=lambda: bounds[0], live_peers=lambda: 0
     )
-    follower = factory.relayed(
+    follower = factory.make_relayed_follower(
         "kind",
         None,
         bound_s=lambda: 5.0,
-        watch_s=lambda: factory.shared_watch_s(1.8),
+        watch_s=lambda: factory.shared_watch_timeout_s(1.8),
     )
     assert (follower.watch_s(), follower.call_s()) == (1.8, 2.0)
     bounds[0] = ForwardBounds(resync_s=2.0)
@@ -182,10 +185,13 @@
     class Paths(Client):
         paths = []
 
-        async def call(self, path, *, wait_s=0.0, margin_s, is_fresh):
+        async def call(self, path, *, wait_s=0.0, first_byte_timeout_s, is_fresh):
             self.paths.append(path)
             return await super().call(
-                path, wait_s=wait_s, margin_s=margin_s, is_fresh=is_fresh
+                path,
+                wait_s=wait_s,
+                first_byte_timeout_s=first_byte_timeout_s,
+                is_fresh=is_fresh,
             )
 
     def page(revision, more):
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
@@ -25,8 +25,8 @@
 from leadford.forwarding.membership import max_call_s, watch_s
 from leadford_platform import PlatformObjects
 from leadford_server.forwarding._store_contract import StoreAnswer, StoreFailure
-from leadford_server.forwarding.store._client import CALL_S
-from leadford_server.forwarding.store._follow import WATCH_S, KindFollower
+from leadford_server.forwarding.store._client import FIRST_BYTE_TIMEOUT_S
+from leadford_server.forwarding.store._follow import WATCH_MAX_S, KindFollower
 from leadford_standins.simulated import run_simulated
 
 # Time that the store takes for an answer, normally and while it is slow.
@@ -63,9 +63,16 @@
         self.waiting = waiting
         self.answer_s = answer_s
 
-    async def call(self, path, *, wait_s=0.0, margin_s=CALL_S, is_fresh=False):
+    async def call(
+        self,
+        path,
+        *,
+        wait_s=0.0,
+        first_byte_timeout_s=FIRST_BYTE_TIMEOUT_S,
+        is_fresh=False,
+    ):
         now = asyncio.get_running_loop().time()
-        given_up_at = now + wait_s + margin_s
+        given_up_at = now + wait_s + first_byte_timeout_s
         answered_at = self._answered_at(path, now)
         if answered_at is None or answered_at > given_up_at:
             await asyncio.sleep(given_up_at - now)
@@ -115,7 +122,7 @@
         random=random,
         owner=SimpleNamespace(on_list=lambda listing: None, on_confirmed=on_confirmed),
         watch_s=lambda: watch_s(
-            WATCH_S, live_peers, random.random(), resync_s=resync_s
+            WATCH_MAX_S, live_peers, random.random(), resync_s=resync_s
         ),
         call_s=lambda: max_call_s(resync_s),
     )
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_crashes.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_crashes.py
@@ -17,7 +17,7 @@
     def __init__(self, *, entries: EntryPeers, quarantine: RequestQuarantine) -> None:
         self.entries = entries
         self.quarantine = quarantine
-        quarantine.on_news = self.tell
+        quarantine.publish_news = self.tell
 
     def tell(self, news: CrashNews) -> None:
         """Tell the entries that pass news on, and from a relay all that it reaches."""
@@ -32,7 +32,7 @@
 
     def send_known(self, peer: PeerConnection) -> None:
         """Tell a new peer what is known."""
-        known = self.quarantine.known()
+        known = self.quarantine.news_for_new_peer()
         if known is not None and _can_read(peer):
             peer.send(known)
 
@@ -40,7 +40,7 @@
         """Take news of another entry; return whether it was that."""
         if not isinstance(message, CrashNews):
             return False
-        news = self.quarantine.learn(message)
+        news = self.quarantine.apply_news(message)
         if news is not None and self.entries.is_relay():
             self.tell(news)
         return True
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_live_attempts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_live_attempts.py
@@ -50,7 +50,7 @@
         counts as an end of its own, and no later answer takes it back.
         """
         start = EndpointId(f"{attempt.endpoint_id}/{self.request_id}/{attempt.number}")
-        self.services.quarantine_.record_lost(
+        self.services.quarantine_.record_connection_lost(
             self.content_digest, start, is_under_way=is_under_way
         )
 
--- a/packages/leadford-server/src/leadford_server/quarantine/_requests.py
+++ b/packages/leadford-server/src/leadford_server/quarantine/_requests.py
@@ -1,8 +1,8 @@
 """Record which requests ran when endpoints crashed, and decide whether one may run.
 
 Owns the ledger of one process, its log lines and metrics. Local observations go to
-`on_news`, which sends them to other processes. News from other processes comes to
-`learn`, which returns the part that was new, so that it can be passed on.
+`publish_news`, which sends them to other processes. News from other processes comes to
+`apply_news`, which returns the part that was new, so that it can be passed on.
 `leadford.quarantine` decides which cases count and what follows from them.
 """
 
@@ -42,7 +42,7 @@
         self.now = now
         self.random = random
         self.log = log
-        self.on_news: Callable[[CrashNews], None] = _discard_news
+        self.publish_news: Callable[[CrashNews], None] = _discard_news
         self.ledger_ = CrashLedger()
         self.quarantined_: set[RequestDigest] = set()
 
@@ -54,7 +54,7 @@
         """Return whether a request runs apart from other suspected requests."""
         return self.verdict(digest).action is QuarantineAction.RUN_APART
 
-    def record_lost(
+    def record_connection_lost(
         self, digest: RequestDigest, endpoint_id: EndpointId, *, is_under_way: bool
     ) -> None:
         """Record that an endpoint closed a connection while it ran a request."""
@@ -65,21 +65,21 @@
         self.ledger_.record(case, self.now())
         CRASH_CASES_TOTAL.labels(seen=SEEN_HERE).inc()
         self._log_changes()
-        self.on_news(CrashNews(cases=[_report_from_case(case)]))
+        self.publish_news(CrashNews(cases=[_report_from_case(case)]))
 
     def record_alive(self, endpoint_id: EndpointId, sent_at: float) -> None:
         """Record that an endpoint answered a request that was sent at `sent_at`."""
         if self.ledger_.record_alive(endpoint_id, sent_at):
             self._log_changes()
-            self.on_news(CrashNews(alive=[endpoint_id]))
+            self.publish_news(CrashNews(alive=[endpoint_id]))
 
     def record_answered(self, digest: RequestDigest) -> None:
         """Record that a request was answered completely."""
         if self.ledger_.clear(digest):
             self._log_changes()
-            self.on_news(CrashNews(answered=[digest]))
+            self.publish_news(CrashNews(answered=[digest]))
 
-    def learn(self, news: CrashNews) -> CrashNews | None:
+    def apply_news(self, news: CrashNews) -> CrashNews | None:
         """Record news from another process; return the part that was new, or None."""
         now = self.now()
         cases = [
@@ -103,7 +103,7 @@
         self._log_changes()
         return CrashNews(cases, alive, answered)
 
-    def known(self) -> CrashNews | None:
+    def news_for_new_peer(self) -> CrashNews | None:
         """Return the news to send to a new peer, None if there is none."""
         cases = [
             _report_from_case(case)
@@ -131,7 +131,7 @@
 
 
 def _discard_news(news: CrashNews) -> None:
-    """Do nothing; the default until `on_news` is set."""
+    """Do nothing; the default until `publish_news` is set."""
 
 
 def _report_from_case(case: CrashCase) -> CrashReport:
--- a/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
@@ -45,7 +45,12 @@
         self.calls_ = 0
 
     async def call(
-        self, path: str, *, wait_s: float = 0.0, margin_s: float = 1.5, **fields: object
+        self,
+        path: str,
+        *,
+        wait_s: float = 0.0,
+        first_byte_timeout_s: float = 1.5,
+        **fields: object,
     ) -> Result:
         """Return what the store answers now, or once the watch is over."""
         self.calls_ += 1
@@ -54,7 +59,9 @@
         has_era = status != NO_ANSWER and self.store.era_ is not None
         headers = {"Store-Era": str(self.store.era_)} if has_era else {}
         body = json.dumps(page).encode()
-        return self._sort(path, "read", Transferred(status, body, 0.0, headers))
+        return self._handle_response(
+            path, "read", Transferred(status, body, 0.0, headers)
+        )
 
     async def _answer(self, path: str, wait_s: float) -> tuple[int, dict]:
         store = self.store
@@ -121,7 +128,7 @@
         self.listing_ = ListingHolder(
             objects=PlatformObjects(), state=state, on_change=lambda: None
         )
-        self.follower = factory.relayed(
+        self.follower = factory.make_relayed_follower(
             ENDPOINTS_KIND,
             self.listing_,
             bound_s=lambda: BOUNDS.drain_s,
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_closed_connections.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_closed_connections.py
@@ -47,6 +47,6 @@
         await asyncio.sleep(0.2)
         assert not any(endpoint.runs_ for endpoint in deployment.all_endpoints())
         assert not any(stage.items_ for stage in deployment.stage)
-        assert entry.caller_server_.live == 0
+        assert entry.caller_server_.pending_count == 0
 
     play(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_evacuations.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_evacuations.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from leadford_server.forwarding.store import _follow
-from leadford_server.forwarding.store._halls import WATCH_PART
+from leadford_server.forwarding.store._halls import WATCH_FRACTION
 from leadford_standins.wire import StoreFault, play, turn_away
 
 HALL = "hall-0"
@@ -142,7 +142,7 @@
         began_at = now()
         deployment.store.put("evacuations", HALL, {})
         deployment.store.forget_history()
-        await asyncio.sleep(_follow.WATCH_S + 0.2)
+        await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
         deployment.store.has_deaf_watches = False
         await deployment.until(lambda: evacuated_at(entry))
         assert now() - began_at < EVACUATE_S
@@ -193,7 +193,8 @@
     """Wait until a few entries follow the store for all."""
     await deployment.until(
         lambda: all(
-            len(e.members_.entries_by_id_) == FLEET and e.links_.relays.others_rest
+            len(e.members_.entries_by_id_) == FLEET
+            and e.links_.relays.has_passive_entries
             for e in deployment.entries_
         )
     )
@@ -206,7 +207,7 @@
 
 
 def resting(deployment):
-    return [e for e in deployment.entries_ if not e.links_.relays.follows]
+    return [e for e in deployment.entries_ if not e.links_.relays.is_follower]
 
 
 def evacuation_calls(deployment):
@@ -229,9 +230,9 @@
         await settle(deployment)
         # Each entry asks once more after its first listing, which may be old, and ends
         # the watch that it began before it knew of the others.
-        await asyncio.sleep(WATCH_PART * EVACUATE_S + 1.0)
+        await asyncio.sleep(WATCH_FRACTION * EVACUATE_S + 1.0)
         asked = evacuation_calls(deployment)
-        followers = [e for e in deployment.entries_ if e.links_.relays.follows]
+        followers = [e for e in deployment.entries_ if e.links_.relays.is_follower]
         await deployment.until(lambda: len(asked) >= 3 * len(followers), timeout_s=20.0)
         assert set(asked) <= set(followers)
 
@@ -254,11 +255,11 @@
 def test_entries_that_rest_ask_for_evacuations_once_those_that_follow_are_deaf():
     async def scenario(deployment):
         await settle(deployment)
-        followers = [e for e in deployment.entries_ if e.links_.relays.follows]
+        followers = [e for e in deployment.entries_ if e.links_.relays.is_follower]
         for entry in followers:
             turn_away(entry)
         # Watches that wait already still end as the store says.
-        await asyncio.sleep(WATCH_PART * EVACUATE_S + 0.2)
+        await asyncio.sleep(WATCH_FRACTION * EVACUATE_S + 0.2)
         deployment.store.put("evacuations", HALL, {})
         await deployment.until(
             lambda: all(map(evacuated_at, resting(deployment))), timeout_s=EVACUATE_S
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
@@ -20,7 +20,7 @@
 def made_by_id(deployment):
     """Return how many heartbeats each entry has made."""
     entries = deployment.entries_
-    return {e.links_.entry_id: e.links_.heartbeats.made_ for e in entries}
+    return {e.links_.entry_id: e.links_.heartbeats.heartbeat_count_ for e in entries}
 
 
 async def count_heartbeats(deployment):
@@ -70,7 +70,7 @@
         followers = {
             entry.links_.entry_id
             for entry in deployment.entries_
-            if entry.links_.relays.follows
+            if entry.links_.relays.is_follower
         }
         heard = await count_heartbeats(deployment)
         resting = [
@@ -98,7 +98,7 @@
         entry = next(
             e
             for e in deployment.entries_
-            if e.links_.entry_id not in at_work and not e.links_.relays.follows
+            if e.links_.entry_id not in at_work and not e.links_.relays.is_follower
         )
         sent = Counter()
         for peer in entry.links_.peers_by_id_.values():
@@ -112,8 +112,10 @@
                 return send(message)
 
             peer.send = count
-        began = entry.links_.heartbeats.made_
-        await deployment.until(lambda: entry.links_.heartbeats.made_ >= began + BEATS)
+        began = entry.links_.heartbeats.heartbeat_count_
+        await deployment.until(
+            lambda: entry.links_.heartbeats.heartbeat_count_ >= began + BEATS
+        )
         assert min(sent.values()) >= BEATS
 
     play(scenario, entries=ENTRIES)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_large_configurations.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_large_configurations.py
@@ -56,7 +56,7 @@
         await deployment.until(lambda: second.links_.peers_by_id_)
         turn_away(second)
         # The watch that waits now still ends as the store says.
-        await asyncio.sleep(_follow.WATCH_S + 0.2)
+        await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
         await deployment.until(lambda: first.links_.peers_by_id_)
         peer = first.links_.peers_by_id_[second.settings.entry_id]
         send = peer.send
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_relayed_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_relayed_store.py
@@ -8,7 +8,7 @@
 
 
 def resting(deployment):
-    return [e for e in deployment.entries_ if not e.links_.relays.follows]
+    return [e for e in deployment.entries_ if not e.links_.relays.is_follower]
 
 
 async def settle(deployment):
@@ -57,7 +57,7 @@
     async def scenario(deployment):
         await settle(deployment)
         for entry in deployment.entries_:
-            if entry.links_.relays.follows:
+            if entry.links_.relays.is_follower:
                 turn_away(entry)
         # Watches that wait already still end as the store says.
         await asyncio.sleep(2.0)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_requests.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_requests.py
@@ -90,7 +90,7 @@
         await deployment.until(lambda: any(e.runs_ for e in deployment.engines))
         reader = deployment.entries_[0].caller_server_.exchanges_
         for exchange in list(reader):
-            exchange._on_caller_left()
+            exchange._on_caller_disconnected()
         await deployment.until(lambda: any(e.left_early_ for e in deployment.engines))
         sent.cancel()
         assert deployment.entries_[0].stages_.sent.sent_by_id_ == {}
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_restored_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_restored_store.py
@@ -18,7 +18,7 @@
     )
     await deployment.until(
         lambda: all(
-            r.follows or r.clocks_by_peer_.keys() >= r.followers() for r in relays
+            r.is_follower or r.clocks_by_peer_.keys() >= r.followers() for r in relays
         )
     )
 
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_store.py
@@ -128,7 +128,7 @@
         entry = deployment.entries_[0]
         # The watch that waits now is never answered; those after it are.
         deployment.store.has_deaf_watches = True
-        await asyncio.sleep(_follow.WATCH_S + 0.2)
+        await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
         deployment.store.has_deaf_watches = False
         deployment.config["version"] = 2
         deployment.put_config()
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_suspended_hosts.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_suspended_hosts.py
@@ -80,7 +80,7 @@
             await deployment.send("/safe/x", request_id=f"r{number}")
         pool = deployment.entries_[0].state_.pool_
         clock.slept_s += 60.0
-        pool.sweep(deployment.entries_[0].state_.roster_.known_ids())
+        pool.close_idle(deployment.entries_[0].state_.roster_.known_ids())
         assert not any(found.idle_ for found in pool.connections_by_id_.values())
 
     play_asleep(scenario)
