--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_request.py
@@ -88,7 +88,7 @@
                 await self._serve_within_deadline()
         except (asyncio.CancelledError, CallerDisconnected):
             # The exchange cancels this task when its caller leaves.
-            self.progress.end_without_caller()
+            self.progress.record_caller_gone()
             self.exchange.abort()
         except Exception as error:
             # The caller gets a final answer after any error; the exchange logs it.
@@ -145,7 +145,7 @@
         progress.deadline_ = request_deadline(
             route, self.request.deadline_ms, self.request.received_at
         )
-        budget = self.state.budgets_.budget(match.service.service_id)
+        budget = self.state.retry_budgets_.budget(match.service.service_id)
         budget.record_request(self.state.now())
         # A request that a caller repeats has the same digest at every entry. Without
         # this check, one request crashed 27 endpoints, and retry budgets were spent on
@@ -172,14 +172,20 @@
     def _is_held_back(self) -> bool:
         """Return whether all endpoints ask for a pause that outlasts the deadline."""
         progress = self.progress
-        hold_s = self.state.service_hold_s(progress.match_.service.service_id)
+        send_delay_s = self.state.service_send_delay_s(
+            progress.match_.service.service_id
+        )
         due_at = answer_due_at(progress.deadline_)
-        return hold_s > 0.0 and self.state.now() + hold_s >= due_at
+        return send_delay_s > 0.0 and self.state.now() + send_delay_s >= due_at
 
     def _end_out_of_time(self) -> None:
         """End a request that is past its deadline or that a planned stop cuts short."""
         is_late = self.attempts.is_out_of_time()
-        if is_late or self.progress.tried_ or self.state.stop_began_at_ is None:
+        if (
+            is_late
+            or self.progress.tried_endpoint_ids_
+            or self.state.stop_began_at_ is None
+        ):
             self.answer.end(EndReason.OUT_OF_TIME, "out of time")
             return
         detail = DETAIL_BY_DENIAL[StartDenial.STOPPING]
@@ -193,7 +199,7 @@
         route = match.route
         now = self.state.now()
         counts = request.piece_counts or ()
-        asked_ms = request.deadline_ms
+        caller_timeout_ms = request.deadline_ms
         if len(counts) != len(route.stages):
             self.answer.end(
                 EndReason.MALFORMED, "counts of pieces do not fit the stages"
@@ -206,24 +212,30 @@
                 self.inputs.capacities(match),
                 priority=match.priority,
                 fingerprint=request.fingerprint,
-                engine_s=self.state.first_byte_.expected_s(match.service.service_id),
+                first_byte_s=self.state.first_byte_.expected_s(
+                    match.service.service_id
+                ),
                 elapsed_s=now - request.received_at,
-                allowed_s=progress.deadline_ - request.received_at,
+                timeout_s=progress.deadline_ - request.received_at,
                 now=now,
-                asked_s=None if asked_ms is None else asked_ms / 1_000.0,
-                held_s=self.state.service_hold_s(match.service.service_id),
+                caller_timeout_s=None
+                if caller_timeout_ms is None
+                else caller_timeout_ms / 1_000.0,
+                endpoint_wait_s=self.state.service_send_delay_s(
+                    match.service.service_id
+                ),
             )
         )
-        if decision.is_return:
-            known_by = "refusal" if decision.is_heard else "announced wait"
+        if decision.is_caller_retry:
+            known_by = "refusal" if decision.is_refusal_known else "announced wait"
             RETURNS_TOTAL.labels(known_by=known_by).inc()
         progress.expected_s_ = decision.expected_s
-        progress.first_try_s_ = decision.first_try_s
+        progress.since_first_try_s_ = decision.since_first_try_s
         progress.is_late_ = decision.is_late
         if decision.verdict is Verdict.ADMIT:
             return True
         detail = f"expected in {decision.expected_s:.2f} s"
-        if decision.is_return:
+        if decision.is_caller_retry:
             detail += ", returned"
         self.answer.end(EndReason.NOT_ADMITTED, detail, decision.retry_after_s)
         return False
@@ -235,7 +247,7 @@
             self.answer.end(EndReason.MALFORMED, opened.failure())
             return False
         try:
-            await self.inputs.make()
+            await self.inputs.wait_for_stages()
         except StageFailure as failure:
             if self.attempts.is_quarantined:
                 self.answer.end_quarantined()
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_stream.py
@@ -78,11 +78,11 @@
         if not decision.retry:
             self.answer.end_failed(failure.detail)
             return False
-        if not decision.keeps_endpoint:
+        if not decision.may_reuse_endpoint:
             return True
         self.progress.input_remakes_ += 1
-        self.progress.tried_.pop()
-        self.inputs.restart()
+        self.progress.tried_endpoint_ids_.pop()
+        self.inputs.drop_final_inputs()
         return await self.make_inputs()
 
     async def _retry_elsewhere(self, detail: str) -> bool:
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_loads.py
@@ -44,18 +44,18 @@
         room_bytes = self.capacities.room_bytes(records, service.pieces, now)
         return GroupLoad(wait_s, room_bytes - queue.waiting_bytes(), now)
 
-    def uses_left(
+    def uses_in_foreign_groups(
         self, scheduled_by_others: Callable[[GroupId], bool]
     ) -> list[CapacityUse]:
         """Return what this entry still uses in groups that others schedule now."""
         found = []
-        for use in self.capacities.uses(self.state.now()):
+        for use in self.capacities.occupied_capacity(self.state.now()):
             record = self.state.roster_.record(use.endpoint_id)
             if record is None:
                 continue
             listed = record.listed
             if scheduled_by_others(
-                self.state.groups_.group(listed.service_id, listed.hall)
+                self.state.group_map_.group(listed.service_id, listed.hall)
             ):
                 found.append(use)
         return found
@@ -65,5 +65,6 @@
         return [
             record
             for record in self.state.usable(group.service_id)
-            if self.state.groups_.group(group.service_id, record.listed.hall) == group
+            if self.state.group_map_.group(group.service_id, record.listed.hall)
+            == group
         ]
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -15,7 +15,7 @@
 from leadford.forwarding.history import StorePosition
 from leadford.forwarding.membership import (
     BuildVersions,
-    HeardPeers,
+    PeerLiveness,
     SharedRule,
 )
 from leadford.forwarding.routes import ForwardConfig
@@ -81,7 +81,7 @@
         self.fleet = FleetView(state=state)
         self.dialers_by_id_: dict[EntryId, Dialer] = {}
         self.peers_by_id_: dict[EntryId, PeerConnection] = {}
-        self.heard_ = HeardPeers()
+        self.heard_ = PeerLiveness()
         self.builds_ = BuildVersions(own=PROTOCOL_VERSION)
         self.shared_rules_: frozenset[SharedRule] = frozenset()
         self.draining_ids_: set[EntryId] = set()
@@ -109,9 +109,9 @@
         self.crashes = CrashExchange(
             state=state,
             peers_by_id=self.peers_by_id_,
-            forwards_news=lambda: self.relays.follows,
+            forwards_news=lambda: self.relays.is_follower,
         )
-        state.quarantine_.on_news = self.crashes.tell
+        state.quarantine_.publish_news = self.crashes.tell
         self.placing = EnginePlacing(
             state=state,
             peers_by_id=self.peers_by_id_,
@@ -159,16 +159,16 @@
     async def run(self) -> None:
         """Send heartbeats and maintain the links until cancelled."""
         while True:
-            self.heard_.look(self.state.now())
+            self.heard_.record_running(self.state.now())
             self._dial()
             self._send_heartbeats()
             self.stages.sent.check()
-            self.stages.give_back()
+            self.stages.return_waiting_pieces()
             spread = self.random.uniform(*HEARTBEAT_JITTER)
             await asyncio.sleep(HEARTBEAT_INTERVAL_S * spread)
 
     def _dial(self) -> None:
-        wanted = self.fleet.wanted_peers()
+        wanted = self.fleet.peers_to_link()
         for entry_id in set(self.dialers_by_id_) - wanted:
             dialer = self.dialers_by_id_.pop(entry_id)
             asyncio.ensure_future(dialer.stop())
@@ -260,8 +260,8 @@
         self.news.forget(entry_id)
         self.relays.forget(entry_id)
         self.state.log.report(Event.PEER_LOST, peer=entry_id)
-        self.stages.scheduler_.forget(entry_id)
-        self.stages.sent.scheduler_lost(entry_id)
+        self.stages.scheduler_.drop_pieces_of(entry_id)
+        self.stages.sent.on_scheduler_lost(entry_id)
         self.stages.backlog_.forget(entry_id)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
@@ -277,7 +277,7 @@
         if handler is not None:
             handler(peer, message)
 
-    def tell_all(self, report: EvacuationReport) -> None:
+    def send_evacuations(self, report: EvacuationReport) -> None:
         """Send every peer the evacuated halls."""
         for peer in list(self.peers_by_id_.values()):
             self._tell_evacuations(peer, report)
@@ -309,6 +309,6 @@
             self.draining_ids_.add(entry_id)
         else:
             self.draining_ids_.discard(entry_id)
-        self.builds_.record_told(entry_id, message.lowest_version)
+        self.builds_.record_reported(entry_id, message.lowest_version)
         self.heartbeats.record(entry_id, message)
         self.news.ask_if_behind(peer, message, self.state.now())
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_relays.py
@@ -15,7 +15,7 @@
 
 from leadford.common import EntryId, pack, unpack
 from leadford.events import Event
-from leadford.forwarding.history import START, StoreEpoch, StorePosition
+from leadford.forwarding.history import START_POSITION, StoreEpoch, StorePosition
 from leadford.forwarding.membership import PeerClock
 from leadford.protocol import (
     PROTOCOL_EPOCHS,
@@ -79,12 +79,12 @@
         self.follower_by_kind_[follower.kind] = follower
 
     @property
-    def follows(self) -> bool:
+    def is_follower(self) -> bool:
         """Return whether this entry follows the store."""
         return self.state.entry_id in self.followers()
 
     @property
-    def others_rest(self) -> bool:
+    def has_passive_entries(self) -> bool:
         """Return whether some entries learn of changes only from others."""
         return len(self.followers()) < self.entry_count()
 
@@ -96,7 +96,11 @@
         build could not see that a restored store gives revisions out again, nor say to
         which epoch its own belong.
         """
-        return PROTOCOL_EPOCHS if self.state.epochs_.is_told_ else PROTOCOL_FLEET
+        return (
+            PROTOCOL_EPOCHS
+            if self.state.epochs_.is_reported_by_store_
+            else PROTOCOL_FLEET
+        )
 
     def tell(self, kind: str, after: StorePosition, seen: ObjectEvents) -> None:
         """Pass changes on that this entry received from the store.
@@ -105,7 +109,9 @@
         thousand endpoints that start shrink from 254 kB to 20 kB in 2.3 ms, and unpack
         in 1.4 ms.
         """
-        if kind == self.config_kind or not (self.follows and self.others_rest):
+        if kind == self.config_kind or not (
+            self.is_follower and self.has_passive_entries
+        ):
             return
         changes = [
             StoreChange(_encoded(event.item), event.is_gone, event.seen_revision)
@@ -123,7 +129,7 @@
 
     def confirmations(self) -> StoreConfirmations | None:
         """Return what the store has confirmed, if this entry follows it for others."""
-        if not (self.follows and self.others_rest):
+        if not (self.is_follower and self.has_passive_entries):
             return None
         kinds = []
         for kind, follower in self.follower_by_kind_.items():
@@ -178,7 +184,7 @@
                     # Changes are sent before their confirmation, so one was missed.
                     follower.poll_now()
                 continue
-            confirmed_at = clock.own_moment(confirmation.confirmed_ms / 1_000.0)
+            confirmed_at = clock.to_local_time(confirmation.confirmed_ms / 1_000.0)
             position = StorePosition(
                 StoreEpoch(confirmation.epoch), confirmation.revision
             )
@@ -191,7 +197,7 @@
     def _learn_epoch(self, peer: PeerConnection, epoch: int) -> None:
         """Record the epoch that a peer knows, and log it if it is a new one."""
         before = self.state.epochs_.current_
-        if self.state.epochs_.record_told(StoreEpoch(epoch)):
+        if self.state.epochs_.record_peer_epoch(StoreEpoch(epoch)):
             self.state.log.report(
                 Event.STORE_RESTORED,
                 before=before,
@@ -220,7 +226,9 @@
             return
         epoch = StoreEpoch(message.epoch)
         self._learn_epoch(peer, epoch)
-        if StorePosition(epoch, message.revision) <= (follower.position_ or START):
+        if StorePosition(epoch, message.revision) <= (
+            follower.position_ or START_POSITION
+        ):
             # The changes have already arrived from another follower.
             RELAYED_NEWS_TOTAL.labels(kind=message.kind, end="known").inc()
             return
@@ -231,7 +239,7 @@
             )
             return
         events = read.unwrap()
-        confirmed_at = clock.own_moment(message.sent_ms / 1_000.0)
+        confirmed_at = clock.to_local_time(message.sent_ms / 1_000.0)
         seen = ObjectEvents(events, message.revision).in_epoch(epoch)
         fits = follower.learn(message.after_revision, seen, confirmed_at)
         end = "taken" if fits else "gap"
--- a/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/retries/_attempts.py
@@ -22,7 +22,7 @@
     RetryReason,
     answer_due_at,
     decide_retry,
-    held_limit_s,
+    max_hold_s,
 )
 from leadford.forwarding.routes import PRIORITY_HIGHEST, PRIORITY_LOWEST, RouteKind
 from leadford_server.forwarding._contract import ForwardCall, NotRunCause
@@ -53,7 +53,7 @@
 _FAILURE_BY_BREAK = {
     BreakKind.NOT_SENT: EndpointFailure.LOST,
     BreakKind.LOST: EndpointFailure.LOST,
-    BreakKind.SPOILED: EndpointFailure.SPOILED,
+    BreakKind.INVALID_ANSWER: EndpointFailure.INVALID_ANSWER,
 }
 
 
@@ -69,7 +69,7 @@
         self.choice = EndpointChoice(state=state, inputs=inputs, progress=progress)
         self.evidence = EndpointEvidence(state=state, progress=progress)
         self.sent_prompt_: SentPrompt | None = None
-        # Whether the current attempt is counted in `suspects_in_flight_`.
+        # Whether the current attempt is counted in `suspect_requests_in_flight_`.
         self.is_suspect_ = False
 
     def choose(self) -> EndpointRecord | None:
@@ -94,7 +94,7 @@
             answer = await self._send(record, connection, limit_at)
         except ExchangeBroken as failure:
             if failure.kind is BreakKind.LOST:
-                self.evidence.record_lost(borrowed, has_head=False)
+                self.evidence.record_connection_lost(borrowed, has_head=False)
             self._abandon(record, connection)
             self.evidence.record_failure(record, _FAILURE_BY_BREAK[failure.kind])
             if failure.kind is BreakKind.NOT_SENT:
@@ -126,7 +126,7 @@
         """
         if self.is_quarantined:
             raise NotRun("quarantined")
-        wait_until = self.state.now() + held_limit_s(self.progress.match_.route)
+        wait_until = self.state.now() + max_hold_s(self.progress.match_.route)
         while True:
             record = await self.choice.choose_by(wait_until)
             if record is None:
@@ -150,13 +150,13 @@
             # Nothing was sent, so the connection can be used again.
             self._count_end(record)
             self.state.pool_.release(record, connection)
-            self.progress.tried_.pop()
+            self.progress.tried_endpoint_ids_.pop()
             if is_refused:
                 raise NotRun("quarantined")
 
     def _may_send(self, record: EndpointRecord) -> bool:
         """Return whether an endpoint that was chosen before still takes a request."""
-        return self.state.is_usable(record) and self.state.hold_s(record) <= 0.0
+        return self.state.is_usable(record) and self.state.send_delay_s(record) <= 0.0
 
     @property
     def is_quarantined(self) -> bool:
@@ -178,7 +178,7 @@
             may_have_run=progress.may_have_run_,
             is_repeatable=route.is_repeatable,
             can_remake_inputs=route.kind is RouteKind.STREAM and bool(route.stages),
-            attempts=len(progress.tried_),
+            attempts=len(progress.tried_endpoint_ids_),
             attempts_max=route.attempts_max,
             input_remakes=progress.input_remakes_,
             now=self.state.now(),
@@ -188,14 +188,14 @@
         decision = decide_retry(
             failed,
             has_other_endpoint=lambda: self.choose() is not None,
-            budget=self.state.budgets_.budget(match.service.service_id),
+            budget=self.state.retry_budgets_.budget(match.service.service_id),
         )
         progress.retry_reason_ = decision.reason
         if decision.reason is RetryReason.ALLOWED:
             self.state.log.report(
                 Event.ATTEMPT_RETRIED,
                 request=progress.request.request_id,
-                attempt=len(progress.tried_),
+                attempt=len(progress.tried_endpoint_ids_),
                 reason=detail[:MAX_LOGGED_DETAIL_CHARS],
             )
         return decision
@@ -220,20 +220,20 @@
         """Record that the engine has read the prompt, or that the attempt is over."""
         sent = self.sent_prompt_
         if sent is not None:
-            self.state.engines_.record_started(sent)
+            self.state.engines_.record_prefilled(sent)
             self.sent_prompt_ = None
-        self.choice.tell_read()
+        self.choice.report_prefilled()
 
     def _count_begin(self, record: EndpointRecord) -> float:
         """Count an attempt that starts now, and return the current time."""
-        self.progress.tried_.append(record.listed.endpoint_id)
+        self.progress.tried_endpoint_ids_.append(record.listed.endpoint_id)
         self.inputs.record_attempt()
         began_at = self.state.now()
         record.in_flight_ += 1
         self.is_suspect_ = self.choice.runs_apart
-        record.suspects_in_flight_ += self.is_suspect_
+        record.suspect_requests_in_flight_ += self.is_suspect_
         service = self.progress.match_.service
-        self.state.cold_.record_sent(record, service.cold_limits, began_at)
+        self.state.cold_endpoints_.record_sent(record, service.cold_limits, began_at)
         engine = service.engine
         if engine is not None:
             self.sent_prompt_ = self.state.engines_.record_sent(
@@ -245,7 +245,7 @@
         """Remove an attempt that has ended from the counts."""
         self.record_prompt_read()
         record.in_flight_ -= 1
-        record.suspects_in_flight_ -= self.is_suspect_
+        record.suspect_requests_in_flight_ -= self.is_suspect_
 
     async def _send(
         self, record: EndpointRecord, connection: EndpointConnection, limit_at: float
@@ -284,7 +284,7 @@
         record_head(self.state, record, head, sent_at=attempt.began_at)
         if head.fault:
             self.release(attempt)
-            raise ExchangeBroken(BreakKind.SPOILED, head.fault)
+            raise ExchangeBroken(BreakKind.INVALID_ANSWER, head.fault)
         if head.not_run is None:
             return
         try:
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_halls.py
@@ -16,11 +16,11 @@
 from leadford_server.forwarding._state import ForwardState
 from leadford_server.forwarding._store_contract import ObjectCodec, ObjectEvent
 from leadford_server.forwarding.store._base import Listing
-from leadford_server.forwarding.store._client import FROM_STORE, readable_record
+from leadford_server.forwarding.store._client import FROM_STORE, decoded_record_or_none
 
 # Wait of a watch in the store, as a fraction of the bound on evacuations. A watch that
 # gets no response then ends, and the next one is answered, well within the bound.
-WATCH_PART = 0.4
+WATCH_FRACTION = 0.4
 
 
 class HallsHolder:
@@ -72,7 +72,7 @@
     def expire(self) -> None:
         """Give back halls whose evacuation a restored store has lost for good."""
         self._apply_changes(
-            self.state.roster_.halls_.expire(self.state.now()), FROM_STORE
+            self.state.roster_.halls_.end_lost_evacuations(self.state.now()), FROM_STORE
         )
 
     def learn(
@@ -86,7 +86,7 @@
         for told in report.halls:
             epoch = StoreEpoch(told.epoch)
             if not has_epochs:
-                epoch = self.state.epochs_.of_untold()
+                epoch = self.state.epochs_.assumed_epoch()
             notice = HallNotice(
                 HallId(told.hall), told.revision, told.is_evacuated, epoch
             )
@@ -138,7 +138,7 @@
                 record.record_cold(now + limits.lasts_s)
 
     def _read(self, item: dict, epoch: StoreEpoch) -> HallNotice | None:
-        notice = readable_record(
+        notice = decoded_record_or_none(
             self.objects.read_evacuation(item),
             self.objects.object_name(item),
             self.state.log,
--- a/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
+++ b/packages/leadford/src/leadford/forwarding/endpoints/_roster.py
@@ -17,7 +17,7 @@
 from leadford.forwarding.endpoints._model import ListedEndpoint, ListedState
 from leadford.forwarding.endpoints._record import EndpointRecord
 from leadford.forwarding.endpoints._removed import RemovedEndpoints
-from leadford.forwarding.history import START, StorePosition
+from leadford.forwarding.history import START_POSITION, StorePosition
 from leadford.forwarding.routes import ServiceId
 
 # Maximum number of endpoints that are no longer listed, or leaving, of which the last
@@ -55,28 +55,28 @@
     with a later position reverts a mistaken removal.
 
     After an outage the store may remove endpoints that still work: when most of a
-    service is removed at once, these endpoints are used for `trusted_s`, which must be
-    shorter than the drain period of an endpoint.
+    service is removed at once, these endpoints are used for `removed_grace_s`, which
+    must be shorter than the drain period of an endpoint.
 
     A store that was restored from a copy lacks endpoints that were listed after the
     copy was made, and lists some that were removed after it. The former are also used
-    for `trusted_s`; the latter are a last resort for `expiry_s`, until the platform
-    would have removed them.
+    for `removed_grace_s`; the latter are a last resort for `expiry_s`, until the
+    platform would have removed them.
 
-    Units: trusted_s and expiry_s in seconds.
+    Units: removed_grace_s and expiry_s in seconds.
     """
 
     def __init__(
         self,
         *,
-        trusted_s: float = RELIST_TIMEOUT_S,
+        removed_grace_s: float = RELIST_TIMEOUT_S,
         expiry_s: float = EXPIRY_HEARTBEATS * DEFAULT_HEARTBEAT_S,
         halls: EvacuatedHalls | None = None,
     ) -> None:
         self.expiry_s = expiry_s
         self.halls = halls
         self.halls_ = halls or EvacuatedHalls()
-        self.removed_ = RemovedEndpoints(trusted_s=trusted_s)
+        self.removed_ = RemovedEndpoints(removed_grace_s=removed_grace_s)
         self.records_by_id_: dict[EndpointId, EndpointRecord] = {}
         self.ids_by_service_: dict[ServiceId, set[EndpointId]] = {}
         # The start that is listed under a name, or was listed last.
@@ -84,14 +84,14 @@
         self.removed_position_by_name_: dict[str, StorePosition] = {}
         # In order of arrival, so that the oldest is forgotten first.
         self.leaving_ids_: dict[EndpointId, None] = {}
-        self.changed_position_ = START
+        self.changed_position_ = START_POSITION
         self.membership_version_ = 0
         # Numbers of listed endpoints by hall, valid for `counted_at_version_`.
         self.listed_by_service_: dict[ServiceId, Mapping[HallId, int]] = {}
         self.counted_at_version_ = -1
 
     @classmethod
-    def from_bounds(
+    def from_drain_period(
         cls, drain_s: float, heartbeat_s: float, halls: EvacuatedHalls | None = None
     ) -> "EndpointRoster":
         """Return a roster for the drain period and heartbeat interval of a deployment.
@@ -101,9 +101,9 @@
 
         Units: seconds.
         """
-        trusted_s = max(0.0, min(RELIST_TIMEOUT_S, drain_s - DRAIN_MARGIN_S))
+        removed_grace_s = max(0.0, min(RELIST_TIMEOUT_S, drain_s - DRAIN_MARGIN_S))
         expiry_s = EXPIRY_HEARTBEATS * heartbeat_s
-        return cls(trusted_s=trusted_s, expiry_s=expiry_s, halls=halls)
+        return cls(removed_grace_s=removed_grace_s, expiry_s=expiry_s, halls=halls)
 
     def replace(
         self, endpoints: Iterable[ListedEndpoint], position: StorePosition, now: float
@@ -114,7 +114,7 @@
         for endpoint in endpoints:
             seen.add(endpoint.name)
             is_stale_copy = self._is_stale_copy(endpoint)
-            changes += self.put(endpoint)
+            changes += self.record_listed(endpoint)
             if is_stale_copy:
                 self._mark_doubted(endpoint.endpoint_id, now + self.expiry_s)
         names = {record.listed.name for record in self.records_by_id_.values()}
@@ -144,7 +144,7 @@
         if record is not None:
             record.doubted_until_ = until
 
-    def put(self, endpoint: ListedEndpoint) -> list[RosterChange]:
+    def record_listed(self, endpoint: ListedEndpoint) -> list[RosterChange]:
         """Record one listed endpoint, unless something newer is known of it."""
         endpoint_id = endpoint.endpoint_id
         last = self.last_by_name_.get(endpoint.name)
@@ -230,7 +230,7 @@
         position: StorePosition,
         now: float,
         *,
-        seen_at: StorePosition = START,
+        seen_at: StorePosition = START_POSITION,
     ) -> list[RosterChange]:
         """Record that no endpoint is listed under a name any more.
 
--- a/packages/leadford/src/leadford/forwarding/membership/_heard.py
+++ b/packages/leadford/src/leadford/forwarding/membership/_heard.py
@@ -6,7 +6,7 @@
 """
 
 
-class HeardVersions:
+class PeerVersions:
     """Keep when each version newer than this entry's own was first reported."""
 
     def __init__(self) -> None:
@@ -18,7 +18,7 @@
             return
         self.heard_at_by_version_.setdefault(version, now)
 
-    def behind_s(self, known: int, now: float) -> float | None:
+    def stale_s(self, known: int, now: float) -> float | None:
         """Return for how long a version newer than `known` has been reported.
 
         Units: seconds; None if no newer version has been reported.
