--- a/packages/leadford/src/leadford/protocol/__init__.py
+++ b/packages/leadford/src/leadford/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The messages between leadford's own processes and their codec."""
+"""Messages between leadford's own processes, and their codec."""
 
 from leadford.protocol._agents import (
     Ack,
--- a/packages/leadford/src/leadford/protocol/_agents.py
+++ b/packages/leadford/src/leadford/protocol/_agents.py
@@ -1,7 +1,7 @@
 """Messages between an entry and an agent of leadford's own interface.
 
-An entry submits attempts of stages and follows their tokens; the agent beside the
-endpoint tells its load and what it holds.
+An entry submits attempts of stages and receives their tokens; the agent beside the
+endpoint reports the load of the endpoint and the models that it holds.
 """
 
 from enum import Enum
@@ -10,7 +10,10 @@
 
 
 class ClassLoad(MessageBase):
-    """Say how much expected service waits in one class of priority."""
+    """Report the expected service time that waits in one priority class.
+
+    Units: ahead_ms in milliseconds.
+    """
 
     priority: int
     ahead_ms: float
@@ -26,8 +29,7 @@
 class Load(MessageBase, tag=5):
     """Report the load of an agent's endpoint.
 
-    Units: service_ms per attempt, token_ms per token; ahead_ms is what each class of
-    priority has waiting.
+    Units: service_ms in milliseconds per attempt, token_ms in milliseconds per token.
     """
 
     queued: int
@@ -41,7 +43,7 @@
 
 
 class Draining(MessageBase, tag=6):
-    """Announce that the sender takes no new work."""
+    """Announce that the sender accepts no new work."""
 
     reason: str
 
@@ -49,7 +51,7 @@
 class Submit(MessageBase, tag=7):
     """Ask an agent to run one attempt of one stage.
 
-    Units: remaining_ms counts from receipt; credit counts tokens.
+    Units: remaining_ms in milliseconds from receipt; credit in tokens.
     """
 
     request_id: str
@@ -72,7 +74,7 @@
 
 
 class Refused(MessageBase, tag=8):
-    """Refuse an attempt; `begun` is false only when the endpoint saw nothing."""
+    """Refuse an attempt; `begun` is false only if nothing reached the endpoint."""
 
     request_id: str
     stage: str
@@ -95,7 +97,7 @@
 
 
 class Tokens(MessageBase, tag=9):
-    """Carry the new tokens of many streams, gathered over one tick."""
+    """Carry the new tokens of many streams, collected over one tick."""
 
     parts: list[TokenPart]
 
@@ -110,9 +112,9 @@
 
 
 class Done(MessageBase, tag=10):
-    """End an attempt; `sequence` is the count of tokens that precede it.
+    """End an attempt; `sequence` is the number of tokens sent before this message.
 
-    `endpoint_ended` is true where the endpoint closed the connection under it.
+    `endpoint_ended` is true if the endpoint closed the connection during the attempt.
     """
 
     request_id: str
@@ -132,7 +134,7 @@
 
 
 class Ack(MessageBase, tag=11):
-    """Release a kept result."""
+    """Allow an agent to release a result that it keeps."""
 
     request_id: str
     stage: str
@@ -149,7 +151,7 @@
 
 
 class Cancel(MessageBase, tag=13):
-    """Give up an attempt that nobody waits for."""
+    """Cancel an attempt whose result is no longer needed."""
 
     request_id: str
     stage: str
@@ -168,7 +170,7 @@
 
 
 class NotHeld(MessageBase, tag=15):
-    """Answer an attach or lookup for work the agent does not hold."""
+    """Answer an `Attach` or a lookup for an attempt that the agent does not hold."""
 
     request_id: str
     stage: str
@@ -176,7 +178,7 @@
 
 
 class PlanOrder(MessageBase, tag=28):
-    """Tell an agent what its engine is to hold; older fences are ignored."""
+    """Tell an agent which models its engine must hold; older fences are ignored."""
 
     pool: str
     fence: int
--- a/packages/leadford/src/leadford/protocol/_base.py
+++ b/packages/leadford/src/leadford/protocol/_base.py
@@ -1,36 +1,40 @@
-"""What every message between leadford's processes is built on.
+"""Base type of the messages between leadford's processes, and protocol versions.
 
-Each message travels as a CBOR array: its type number, then its fields in order.
-New fields are only ever appended and carry a default, so a reader ignores what it
-does not know and fills in what an older writer leaves out.
+Each message is encoded as a CBOR array: its type number, then its fields in order.
+New fields are only appended and have a default, so a reader ignores fields that it
+does not know and fills in those that an older writer leaves out.
 """
 
 import msgspec
 
-# Versions of the protocol that this process speaks.
+# The newest version of the protocol that this build supports.
 PROTOCOL_VERSION = 9
-# The first version in which configurations travel in parts.
+# The first version that transfers configurations in parts.
 PROTOCOL_CONFIG_PARTS = 2
-# The first version in which entries tell each other which halls are evacuated.
+# The first version in which entries report evacuated halls to each other.
 PROTOCOL_EVACUATIONS = 3
-# The first version in which entries tell each other what they know of the whole fleet.
+# The first version in which entries share what they know of the whole fleet: its
+# backlog, changes of the store, and places of prompts.
 PROTOCOL_FLEET = 4
-# The first version in which entries pack what they tell of endpoints.
+# The first version in which entries compress listings and changes of the store.
 PROTOCOL_PACKED = 5
-# The first version in which entries tell each other under which work endpoints ended.
+# The first version in which entries report the requests under which endpoints ended.
 PROTOCOL_CRASHES = 6
-# The version of entries whose heartbeats do not tell the oldest one they are linked to.
+# The version assumed of an entry whose heartbeats do not report the oldest version
+# among its links.
 PROTOCOL_UNTOLD = 6
-# The first version that leaves heartbeats out where nothing is to be told.
+# The first version that skips heartbeats that have nothing to report.
 PROTOCOL_PACED = 7
-# The first version in which one entry also places prompts at engines that may be cold.
+# The first version in which one entry also places the prompts of services whose
+# engines may be cold.
 PROTOCOL_COLD_PLACED = 7
-# The first version in which entries tell each other the limits of endpoints.
+# The first version in which entries report the limits of endpoints to each other.
 PROTOCOL_LIMITS = 8
-# The first version in which entries tell each other the epoch of the store.
+# The first version in which entries report the epoch of the store to each other.
 PROTOCOL_EPOCHS = 9
+# The oldest version that this build supports.
 PROTOCOL_VERSION_MIN = 1
 
 
 class MessageBase(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Mark a message as a frozen record that travels as an array."""
+    """Provide the base of messages: a frozen struct that is encoded as an array."""
--- a/packages/leadford/src/leadford/protocol/_codec.py
+++ b/packages/leadford/src/leadford/protocol/_codec.py
@@ -1,9 +1,9 @@
-"""Turn frames of messages into CBOR and back.
+"""Encode frames of messages as CBOR, and decode them.
 
-A frame carries the sender's configuration version and every message that was
-waiting to be sent, so the cost of a frame is shared by its messages. While a fleet is
-upgraded, processes of two builds talk to each other: a message that this build does not
-know, or cannot read any more, is skipped, and those beside it are read.
+A frame carries the sender's configuration version and every message that was waiting
+to be sent, so its messages share the cost of a frame. During an upgrade, processes of
+two builds exchange messages: a message that this build does not know, or can no longer
+decode, is skipped, and the other messages of the frame are decoded.
 """
 
 from collections.abc import Sequence
@@ -18,11 +18,11 @@
 
 
 class ProtocolError(Exception):
-    """Tell that a frame is not made of messages of this protocol."""
+    """Report that received data is not a frame of this protocol."""
 
 
-# Characters of what is wrong with a message that is skipped.
-SKIPPED_LOGGED = 200
+# Longer reasons why a message was skipped are cut off.
+SKIP_REASON_MAX_CHARS = 200
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
@@ -33,14 +33,14 @@
 
 
 class _RawFrame(msgspec.Struct, frozen=True, array_like=True):
-    """Hold a frame whose messages are not read yet."""
+    """Hold a frame whose messages are not decoded yet."""
 
     config_version: int
     messages: list[object]
 
 
 class ReceivedFrame(msgspec.Struct, frozen=True):
-    """Hold the messages that could be read, and why each other one could not."""
+    """Hold the decoded messages, and why each skipped one could not be decoded."""
 
     config_version: int
     messages: list[Message]
@@ -54,9 +54,9 @@
 
 
 def decode(data: bytes | str) -> Result[ReceivedFrame, ProtocolError]:
-    """Return the frame in received data, without messages that are not known here.
+    """Return the frame in received data, without messages that are unknown here.
 
-    Errors: data that is text, truncated, or no frame.
+    Errors: data that is text, truncated, or not a frame.
     """
     if isinstance(data, str):
         return Failure(ProtocolError("text where CBOR was expected"))
@@ -67,13 +67,13 @@
     try:
         frame = msgspec.convert(value, Frame, builtin_types=_CBOR_TYPES)
     except msgspec.ValidationError:
-        # Rare, so the usual frame is converted in one step.
+        # This is rare; usually the whole frame is converted in one step.
         return _decode_one_by_one(value)
     return Success(ReceivedFrame(frame.config_version, frame.messages))
 
 
 def _decode_one_by_one(value: object) -> Result[ReceivedFrame, ProtocolError]:
-    """Return the messages of a frame that can be read."""
+    """Return those messages of a frame that can be decoded, and why others cannot."""
     try:
         frame = msgspec.convert(value, _RawFrame, builtin_types=_CBOR_TYPES)
     except msgspec.ValidationError as error:
@@ -84,7 +84,7 @@
         try:
             message = msgspec.convert(raw, Message, builtin_types=_CBOR_TYPES)
         except msgspec.ValidationError as error:
-            skipped.append(str(error)[:SKIPPED_LOGGED])
+            skipped.append(str(error)[:SKIP_REASON_MAX_CHARS])
             continue
         messages.append(message)
     return Success(ReceivedFrame(frame.config_version, messages, tuple(skipped)))
--- a/packages/leadford/src/leadford/protocol/_entries.py
+++ b/packages/leadford/src/leadford/protocol/_entries.py
@@ -1,6 +1,6 @@
 """Messages between entries of leadford's own interface.
 
-They place claims for each other, pass notes of requests on, and relay configuration
+Entries write claims for each other, record where attempts run, and relay configuration
 and answers to operators' queries.
 """
 
@@ -10,7 +10,7 @@
 
 
 class Note(MessageBase, tag=16):
-    """Record at a scheduler where an attempt of a request runs."""
+    """Tell a scheduler where an attempt of a request runs."""
 
     request_id: str
     workspace: str
@@ -38,7 +38,7 @@
 
 
 class HeadRequest(MessageBase, tag=20):
-    """Ask a peer for the configuration head that it runs."""
+    """Ask a peer for the configuration head that it uses."""
 
     version: int
 
@@ -57,14 +57,14 @@
 
 
 class ChunkAnswer(MessageBase, tag=23):
-    """Answer with one configuration chunk."""
+    """Answer with an encoded configuration chunk."""
 
     key: str
     chunk: bytes
 
 
 class ClaimVerdict(Enum):
-    """Say what became of a claim."""
+    """Name the result of a claim."""
 
     GRANTED = 1
     ALREADY_CLAIMED = 2
@@ -73,7 +73,7 @@
 
 
 class ClaimRequest(MessageBase, tag=24):
-    """Ask the entry that owns a shard to place a claim in its next batch."""
+    """Ask the entry that owns a shard to add a claim to its next batch."""
 
     claim_id: str
     request_id: str
@@ -88,7 +88,7 @@
 
 
 class Query(MessageBase, tag=26):
-    """Ask a peer for the rows that it has for a table."""
+    """Ask a peer for its rows of a table."""
 
     query_id: str
     table: str
--- a/packages/leadford/src/leadford/protocol/_forwarding.py
+++ b/packages/leadford/src/leadford/protocol/_forwarding.py
@@ -1,17 +1,17 @@
-"""Messages between entries that forward on the users' platform.
+"""Messages between entries that forward requests on the users' platform.
 
-They tell in heartbeats what they know, ask each other for configurations and listings,
-and tell under which work endpoints ended. Those about pieces, placing and the store
-stand in modules of their own.
+Entries report their state in heartbeats, ask each other for configurations and
+listings, and report the requests under which endpoints ended. Messages about pieces,
+placement and the store are in modules of their own.
 """
 
 from leadford.protocol._base import PROTOCOL_UNTOLD, MessageBase
 
 
 class GroupReport(MessageBase):
-    """Say how long a group makes a piece wait, and how much room it has.
+    """Report how long a piece waits in a group, and the room there for results.
 
-    Units: wait_ms in milliseconds.
+    Units: wait_ms in milliseconds; room_bytes in bytes.
     """
 
     service_id: str
@@ -21,7 +21,7 @@
 
 
 class CommitmentReport(MessageBase):
-    """Say how many pieces of a service this entry has admitted and not yet had made."""
+    """Report how many admitted pieces of a service this entry still has to complete."""
 
     service_id: str
     is_urgent: bool
@@ -29,9 +29,9 @@
 
 
 class RefusalReport(MessageBase):
-    """Say which request was told to come back, when, and what it will need.
+    """Report a refused request: when it may return, and the pieces that it needs.
 
-    Units: return_ms in milliseconds from now.
+    Units: return_ms in milliseconds from now; pieces is a number by service.
     """
 
     fingerprint: str
@@ -41,7 +41,7 @@
 
 
 class LaneReport(MessageBase):
-    """Say what this entry still has at an endpoint that another one schedules."""
+    """Report what this entry still occupies at an endpoint of another scheduler."""
 
     endpoint_id: str
     result_bytes: int
@@ -49,10 +49,9 @@
 
 
 class EntryHeartbeat(MessageBase, tag=33):
-    """Tell that an entry is alive, which listing it has seen, and its groups.
+    """Report that an entry is alive, which listing it has seen, and its groups.
 
-    `lowest_version` is that of the oldest build among the entry and those that it is
-    linked to.
+    `lowest_version` is the oldest protocol version among the entry and its links.
     """
 
     listing_revision: int
@@ -66,7 +65,7 @@
 
 
 class EntryAddress(MessageBase):
-    """Say where an entry is."""
+    """Report the address and the hall of an entry."""
 
     entry_id: str
     address: str
@@ -74,28 +73,28 @@
 
 
 class EntryListing(MessageBase, tag=39):
-    """Tell a new peer which entries are known, for when the store cannot."""
+    """Tell a new peer which entries are known, in case the store is unavailable."""
 
     entries: list[EntryAddress]
 
 
 class ForwardConfigRequest(MessageBase, tag=34):
-    """Ask for the forwarding configuration that is in force at the peer."""
+    """Ask for the forwarding configuration that the peer uses."""
 
     known_version: int
 
 
 class ForwardConfigAnswer(MessageBase, tag=35):
-    """Give a forwarding configuration in the product's own form."""
+    """Answer with a forwarding configuration in leadford's own format."""
 
     version: int
     config: bytes
 
 
 class ConfigPartRequest(MessageBase, tag=40):
-    """Ask for a part of a configuration: of a version, or of the newest for 0.
+    """Ask for a part of a configuration; version 0 asks for the newest.
 
-    Units: offset in bytes of the configuration as it travels.
+    Units: offset in bytes of the encoded configuration.
     """
 
     known_version: int
@@ -104,9 +103,9 @@
 
 
 class ConfigPartAnswer(MessageBase, tag=41):
-    """Give a part of a configuration.
+    """Answer with a part of a configuration.
 
-    Units: total and offset in bytes of the configuration as it travels.
+    Units: total and offset in bytes of the encoded configuration.
     """
 
     version: int
@@ -116,14 +115,14 @@
 
 
 class ListingRequest(MessageBase, tag=36):
-    """Ask for the endpoints that the peer has listed."""
+    """Ask for the peer's listing of endpoints."""
 
     known_revision: int
     known_epoch: int = 0
 
 
 class ListingAnswer(MessageBase, tag=37):
-    """Give the endpoints that are listed at a revision of the store."""
+    """Answer with the endpoints that are listed at a revision of the store."""
 
     revision: int
     endpoints: bytes
@@ -131,7 +130,7 @@
 
 
 class HallReport(MessageBase):
-    """Say whether a hall was evacuated at a revision of the store."""
+    """Report whether a hall was evacuated at a revision of the store."""
 
     hall: str
     revision: int
@@ -140,16 +139,16 @@
 
 
 class EvacuationReport(MessageBase, tag=42):
-    """Tell every hall that is evacuated, or was and is not any more."""
+    """Report every hall that is evacuated, or no longer is."""
 
     halls: list[HallReport]
 
 
 class BacklogReport(MessageBase):
-    """Say how many pieces of a service are admitted over some entries, and made.
+    """Report the admitted pieces of a service over some entries, and its throughput.
 
-    Units: pieces a second, in all and of the less urgent; negative where the service is
-    not behind, so that nothing can be said.
+    Units: pieces per second, of all pieces and of the less urgent ones; negative if the
+    service is not behind, so that its throughput is unknown.
     """
 
     service_id: str
@@ -161,15 +160,15 @@
 
 
 class FleetBacklog(MessageBase, tag=43):
-    """Tell the admitted backlog of services over all entries that the sender hears."""
+    """Report the admitted backlog of services over all entries that report here."""
 
     services: list[BacklogReport]
 
 
 class CrashReport(MessageBase):
-    """Tell of one endpoint that closed a connection under a request.
+    """Report an endpoint that closed a connection under a request.
 
-    Units: age_ms in milliseconds when it is told.
+    Units: age_ms in milliseconds at the time of the report.
     """
 
     case_id: int
@@ -180,9 +179,10 @@
 
 
 class CrashNews(MessageBase, tag=51):
-    """Tell under which work endpoints ended, and what is taken back of that.
+    """Report the requests under which endpoints ended, and withdraw earlier reports.
 
-    `alive` are endpoints that proved to live on; `answered` is work that was answered.
+    `alive` are endpoints that proved to be alive; `answered` are works that were
+    answered.
     """
 
     cases: list[CrashReport] = []
@@ -191,10 +191,10 @@
 
 
 class LimitReport(MessageBase):
-    """Say which limit an endpoint named, or that it names none any more.
+    """Report the rate limit that an endpoint named, or that it has none any more.
 
-    Units: per_s in requests a second, negative where the limit is over; age_ms since
-    that was known.
+    Units: per_s in requests per second, negative if the limit has ended; age_ms in
+    milliseconds since that was known.
     """
 
     endpoint_id: str
@@ -203,6 +203,6 @@
 
 
 class LimitNews(MessageBase, tag=53):
-    """Tell the limits that endpoints named, and those that are just over."""
+    """Report the limits that endpoints named, and those that have just ended."""
 
     limits: list[LimitReport]
--- a/packages/leadford/src/leadford/protocol/_links.py
+++ b/packages/leadford/src/leadford/protocol/_links.py
@@ -4,7 +4,7 @@
 
 
 class Challenge(MessageBase, tag=1):
-    """Open a connection from the accepting side with a nonce to be proved against."""
+    """Open a connection from the accepting side, with a nonce for the peer's proof."""
 
     nonce: bytes
     peer_id: str
@@ -13,7 +13,7 @@
 
 
 class Hello(MessageBase, tag=2):
-    """Answer a challenge: say who connects and prove knowledge of the secret."""
+    """Answer a challenge: name the connecting peer and prove that it has the secret."""
 
     peer_id: str
     role: str
@@ -35,6 +35,6 @@
 
 
 class ConfigHint(MessageBase, tag=19):
-    """Tell a peer which configuration version the sender runs."""
+    """Tell a peer which configuration version the sender uses."""
 
     version: int
--- a/packages/leadford/src/leadford/protocol/_messages.py
+++ b/packages/leadford/src/leadford/protocol/_messages.py
@@ -1,7 +1,6 @@
-"""Join every message that may stand in a frame.
+"""List every type of message that a frame may contain.
 
-Each group of messages has a module by who speaks: `_links`, `_agents`, `_entries` and
-`_forwarding`.
+Each other module holds the messages of one group of senders or one subject.
 """
 
 from leadford.protocol._agents import (
--- a/packages/leadford/src/leadford/protocol/_pieces.py
+++ b/packages/leadford/src/leadford/protocol/_pieces.py
@@ -1,14 +1,14 @@
-"""Messages by which entries have pieces of stages made at schedulers."""
+"""Messages by which entries have schedulers execute pieces of stages."""
 
 from leadford.protocol._base import MessageBase
 
 
 class PieceSubmit(MessageBase, tag=29):
-    """Ask the scheduler of a group for one piece; its id comes back in the answer.
+    """Ask the scheduler of a group for one piece; the answer has its correlation id.
 
-    Units: remaining_ms is what is left of the request's time, due_ms what is left
-    until it should have been answered, and rank_ms orders pieces; near_bytes is
-    what need not move between halls if the piece is made in one.
+    Units: remaining_ms in milliseconds until the request's deadline, due_ms until it
+    should have been answered, and rank_ms orders pieces; near_bytes is, for each hall,
+    the bytes that need not move between halls if the piece is executed in that hall.
     """
 
     correlation_id: int
@@ -28,11 +28,11 @@
 
 
 class SuspectPieceSubmit(PieceSubmit, tag=52):
-    """Ask for one piece of a request under which an endpoint ended before."""
+    """Ask for one piece of a request under which an endpoint has ended before."""
 
 
 class PieceAnswer(MessageBase, tag=30):
-    """Give the result of a piece, or why there is none, and the endpoint asked."""
+    """Answer with the result of a piece, or why it has none, and the endpoint."""
 
     correlation_id: int
     handle: str
@@ -41,19 +41,19 @@
 
 
 class PieceWorking(MessageBase, tag=38):
-    """Tell an entry that its pieces are being made and have fetched their inputs."""
+    """Tell an entry that its pieces are in execution and have fetched their inputs."""
 
     correlation_ids: list[int]
 
 
 class PieceCancel(MessageBase, tag=31):
-    """Tell a scheduler that pieces are wanted no more."""
+    """Tell a scheduler that pieces are no longer needed."""
 
     correlation_ids: list[int]
 
 
 class PieceRelease(MessageBase, tag=32):
-    """Tell a scheduler that results of an endpoint have no reader any more."""
+    """Tell a scheduler that results at an endpoint are no longer needed."""
 
     endpoint_id: str
     handles: list[str]
--- a/packages/leadford/src/leadford/protocol/_placing.py
+++ b/packages/leadford/src/leadford/protocol/_placing.py
@@ -1,17 +1,17 @@
-"""Messages by which one entry chooses the engines for the prompts of all."""
+"""Messages by which one entry chooses the engines for the prompts of all entries."""
 
 from leadford.protocol._base import MessageBase
 
 
 class PromptPartReport(MessageBase):
-    """Name one part of a prompt, and its tokens."""
+    """Name one part of a prompt, and its number of tokens."""
 
     part_id: str
     tokens: int
 
 
 class PlaceRequest(MessageBase, tag=46):
-    """Ask for the engine of a prompt that is sent now."""
+    """Ask which engine to send a prompt to now."""
 
     ask_id: int
     service_id: str
@@ -22,13 +22,13 @@
 
 
 class PlaceAnswer(MessageBase, tag=47):
-    """Say which engine a prompt goes to; empty if there is none."""
+    """Answer with the engine for a prompt; the id is empty if there is none."""
 
     ask_id: int
     endpoint_id: str
 
 
 class PromptRead(MessageBase, tag=48):
-    """Tell that a prompt has been read, or is not sent where it was placed."""
+    """Report that a prompt has been read, or is not sent to the chosen engine."""
 
     ask_id: int
--- a/packages/leadford/src/leadford/protocol/_store_news.py
+++ b/packages/leadford/src/leadford/protocol/_store_news.py
@@ -1,17 +1,17 @@
-"""Messages that pass on what the store told one entry.
+"""Messages that relay what one entry received from the store.
 
-Revisions count within the epoch of the store that is told with them.
+Revisions are counted within the epoch of the store that is sent with them.
 """
 
 from leadford.protocol._base import MessageBase
 
 
 class StoreConfirmation(MessageBase):
-    """Say up to which revision the store confirmed that nothing is missing, and when.
+    """Report the revision up to which the store confirmed a kind as complete, and when.
 
-    Whoever knows the kind up to `changed_revision`, that of its last change, knows as
-    much as the sender; for the configuration, whoever runs its `version` (0 for other
-    kinds).
+    An entry that knows the kind up to `changed_revision`, that of its last change, is
+    as up to date as the sender; for the configuration, an entry that uses its `version`
+    (0 for other kinds).
 
     Units: confirmed_ms in milliseconds of the sender's monotonic clock.
     """
@@ -25,7 +25,7 @@
 
 
 class StoreConfirmations(MessageBase, tag=44):
-    """Tell what the store confirmed lately to an entry that follows it.
+    """Relay the latest confirmations of the store from an entry that follows it.
 
     Units: sent_ms in milliseconds of the sender's monotonic clock.
     """
@@ -35,7 +35,7 @@
 
 
 class StoreChange(MessageBase):
-    """Hold one change of an object of the store, as the store wrote it (JSON)."""
+    """Hold one change of an object of the store, as JSON from the store."""
 
     item: bytes
     is_gone: bool
@@ -43,7 +43,7 @@
 
 
 class StoreChanges(MessageBase, tag=45):
-    """Pass on every change of a kind after one revision of the store up to another.
+    """Relay every change of a kind after one revision of the store up to another.
 
     Units: sent_ms in milliseconds of the sender's monotonic clock.
     """
@@ -57,7 +57,7 @@
 
 
 class PackedChanges(MessageBase, tag=49):
-    """Pass changes on as `StoreChanges` does, packed.
+    """Relay changes as `StoreChanges` does, compressed.
 
     Units: sent_ms in milliseconds of the sender's monotonic clock.
     """
@@ -71,7 +71,7 @@
 
 
 class PackedListing(MessageBase, tag=50):
-    """Give the endpoints that are listed at a revision of the store, packed."""
+    """Answer with the endpoints listed at a revision of the store, compressed."""
 
     revision: int
     endpoints: bytes
--- a/packages/leadford/src/leadford/protocol/tests/test_codec.py
+++ b/packages/leadford/src/leadford/protocol/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames survive the trip; anything else is an error, never an exception."""
+"""Frames are decoded as they were encoded; other data is an error, never raised."""
 
 from random import Random
 from typing import get_args
@@ -83,7 +83,7 @@
     "unknown",
     [
         [999, "a message of a later build"],
-        # A status of a later build, and a field that became text.
+        # A status of a later build, and a number that a later build sends as text.
         [10, "r", "s", 1, "postponed", 3, b"null", 1.0, 2.0],
         [5, "x"],
         [],
