--- a/packages/leadford/src/leadford/common/__init__.py
+++ b/packages/leadford/src/leadford/common/__init__.py
@@ -1,4 +1,4 @@
-"""Ids, states, registries and checks that every other subpackage builds on."""
+"""Ids, states, registries, checks and estimates that all other subpackages use."""
 
 from leadford.common._checks import check_fraction, check_positive
 from leadford.common._estimates import Ewma, TokenBucket
--- a/packages/leadford/src/leadford/common/_estimates.py
+++ b/packages/leadford/src/leadford/common/_estimates.py
@@ -1,11 +1,11 @@
-"""Keep running estimates: moving averages and token buckets.
+"""Provide moving averages and token buckets.
 
-Used by rules of both programs; moments are passed in.
+Rules of both programs use them; callers pass in the time.
 """
 
 
 class Ewma:
-    """Average observations with exponentially falling weight."""
+    """Average observations with exponentially decreasing weights."""
 
     def __init__(self, *, initial: float, weight: float = 0.1) -> None:
         self.initial = initial
@@ -17,7 +17,7 @@
         """Record one observation."""
         self.count_ += 1
         # The first observations count as a plain mean, so that a wrong initial
-        # value is forgotten quickly.
+        # value soon has little effect.
         weight = max(self.weight, 1.0 / (self.count_ + 1))
         self.value_ += weight * (observation - self.value_)
 
@@ -32,14 +32,14 @@
         self.updated_at_: float | None = None
 
     def refill(self, now: float) -> None:
-        """Add the tokens that have accrued since the last call."""
+        """Add the tokens that have accumulated since the last call."""
         if self.updated_at_ is not None:
             elapsed = max(0.0, now - self.updated_at_)
             self.tokens_ = min(self.burst, self.tokens_ + elapsed * self.rate_per_s)
         self.updated_at_ = now
 
     def try_take(self, now: float, amount: float = 1.0) -> bool:
-        """Take tokens if there are enough."""
+        """Take tokens if there are enough, and tell whether they were taken."""
         self.refill(now)
         if self.tokens_ < amount:
             return False
--- a/packages/leadford/src/leadford/common/_hashing.py
+++ b/packages/leadford/src/leadford/common/_hashing.py
@@ -7,10 +7,9 @@
 
 K = TypeVar("K", bound=str)
 
-# Orders that are kept. Entries ask several times a heartbeat who comes first in each
-# group: with 300 entries and 27 groups one such round took 14 ms, and takes 2.6 ms with
-# the orders kept (by timing, one run).
-ORDERS_KEPT = 512
+# Entries look up who comes first in each group several times per heartbeat. With 300
+# entries and 27 groups, one such round takes 14 ms uncached and 2.6 ms cached.
+ORDER_CACHE_SIZE = 512
 
 
 def stable_hash(*parts: str) -> int:
@@ -26,11 +25,11 @@
 
 def rendezvous_order(key: str, members: Iterable[K]) -> list[K]:
     """Return members in the order in which they own a key."""
-    return list(_ordered(key, tuple(members)))
+    return list(_cached_order(key, tuple(members)))
 
 
-@lru_cache(maxsize=ORDERS_KEPT)
-def _ordered(key: str, members: tuple[K, ...]) -> tuple[K, ...]:
+@lru_cache(maxsize=ORDER_CACHE_SIZE)
+def _cached_order(key: str, members: tuple[K, ...]) -> tuple[K, ...]:
     return tuple(
         sorted(members, key=lambda member: (-stable_hash(key, member), member))
     )
--- a/packages/leadford/src/leadford/common/_ids.py
+++ b/packages/leadford/src/leadford/common/_ids.py
@@ -1,4 +1,4 @@
-"""Name the ids that modules exchange, so that a type checker tells them apart."""
+"""Define a type for each id, so that a type checker tells the ids apart."""
 
 from typing import NewType
 
--- a/packages/leadford/src/leadford/common/_numbers.py
+++ b/packages/leadford/src/leadford/common/_numbers.py
@@ -1,15 +1,15 @@
-"""Read numbers from text that another program wrote, which may hold anything."""
+"""Parse numbers in text from other programs, which may contain anything."""
 
 import math
 
 
 def parse_count(text: str | None) -> int | None:
-    """Return a whole number from 0 on; None for anything else."""
+    """Return a non-negative integer; None for any other text."""
     return int(text) if text is not None and text.strip().isdecimal() else None
 
 
 def parse_amount(text: str | None) -> float | None:
-    """Return a finite number from 0 on; None for anything else."""
+    """Return a non-negative finite number; None for any other text."""
     try:
         value = float(text) if text is not None else math.nan
     except ValueError:
--- a/packages/leadford/src/leadford/common/_registry.py
+++ b/packages/leadford/src/leadford/common/_registry.py
@@ -1,6 +1,7 @@
 """Provide registries of named variants, filled by decorators.
 
-A configuration names a variant; an unknown name lists those that are known.
+A configuration selects a variant by name; the error for an unknown name lists the known
+names.
 """
 
 from collections.abc import Callable, Iterator
@@ -10,7 +11,7 @@
 
 
 class UnknownVariantError(LookupError):
-    """Tell that a name is not registered, and which names are."""
+    """Report a name that is not registered, and the names that are."""
 
 
 class Registry(Generic[T]):
--- a/packages/leadford/src/leadford/common/_states.py
+++ b/packages/leadford/src/leadford/common/_states.py
@@ -1,15 +1,15 @@
-"""Hold the enumerations that several subpackages share.
+"""Define the enumerations that several subpackages share.
 
-They belong to leadford's own interface and stand in its answers, logs, metrics and
-configuration, so that their values stay. The entry on the users' platform has its own,
-beside its rules (`leadford.forwarding`).
+They belong to leadford's own interface. Their values appear in its answers, logs,
+metrics and configuration, so they must not change. The entry on the users' platform has
+enumerations of its own beside its rules (`leadford.forwarding`).
 """
 
 from enum import Enum
 
 
 class Outcome(Enum):
-    """Say how a request ended, as the caller is told it."""
+    """Name how a request ended, as reported to the caller."""
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -17,7 +17,7 @@
 
 
 class PoolKind(Enum):
-    """Say what kind of endpoint stands in a pool."""
+    """Name the kind of the endpoints in a pool."""
 
     ENGINE = "engine"
     ENCODER = "encoder"
@@ -27,14 +27,14 @@
 
 
 class Objective(Enum):
-    """Say what the deployment optimises."""
+    """Name what the deployment optimises."""
 
     ATTAINMENT = "attainment"
     COST = "cost"
 
 
 class RefusalReason(Enum):
-    """Say why work was refused before it began or given up afterwards."""
+    """Name why work was refused before it started or abandoned afterwards."""
 
     DEADLINE = "deadline"
     QUEUE_FULL = "queue-full"
--- a/packages/leadford/src/leadford/common/tests/test_layers.py
+++ b/packages/leadford/src/leadford/common/tests/test_layers.py
@@ -1,12 +1,12 @@
-"""Decision modules stay free of input, output and clocks of their own."""
+"""Modules that decide do no I/O and read no clock; the programs share no decisions."""
 
 import ast
 from pathlib import Path
 
 import leadford
 
-GROUND = ("common", "events", "protocol", "quarantine")
-FORBIDDEN = {
+SHARED_FOLDERS = ("common", "events", "protocol", "quarantine")
+FORBIDDEN_IMPORTS = {
     "asyncio",
     "absl",
     "http",
@@ -25,7 +25,7 @@
 }
 
 
-def imported_roots(path):
+def imported_packages(path):
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name.split(".")[0] for alias in node.names)
@@ -52,7 +52,7 @@
 
 def test_the_shared_ground_imports_neither_program():
     root = Path(leadford.__file__).parent
-    paths = [p for part in GROUND for p in (root / part).rglob("*.py")]
+    paths = [p for part in SHARED_FOLDERS for p in (root / part).rglob("*.py")]
     assert len(paths) > 10
     found = [(p.name, name) for p in paths for name in imported_modules(p)]
     programs = ("leadford.forwarding", "leadford.pipelines")
@@ -63,5 +63,5 @@
     root = Path(leadford.__file__).parent
     paths = [p for p in root.rglob("*.py") if "tests" not in p.parts]
     assert len(paths) > 30
-    found = [(p.name, name) for p in paths for name in imported_roots(p)]
-    assert not [pair for pair in found if pair[1] in FORBIDDEN]
+    found = [(p.name, name) for p in paths for name in imported_packages(p)]
+    assert not [pair for pair in found if pair[1] in FORBIDDEN_IMPORTS]
--- a/packages/leadford/src/leadford/common/tests/test_numbers.py
+++ b/packages/leadford/src/leadford/common/tests/test_numbers.py
@@ -1,4 +1,4 @@
-"""Numbers in text are read strictly, and anything else is None."""
+"""Numbers in text are parsed strictly; any other text gives None."""
 
 import pytest
 
--- a/packages/leadford/src/leadford/events/__init__.py
+++ b/packages/leadford/src/leadford/events/__init__.py
@@ -1,4 +1,4 @@
-"""The numbered events that the processes log."""
+"""Numbered events that the processes log, and a journal of the last ones."""
 
 from leadford.events._catalogue import Event, EventRecord, Severity
 from leadford.events._journal import EventJournal
--- a/packages/leadford/src/leadford/events/_catalogue.py
+++ b/packages/leadford/src/leadford/events/_catalogue.py
@@ -1,7 +1,7 @@
-"""Number the events that processes log.
+"""Define the numbered events that processes log.
 
-Numbers and names are seen from outside and never change; docs/EVENTS.md says what each
-means, and a test holds both equal.
+Numbers and names are visible to operators and never change. docs/EVENTS.md describes
+each event, and a test checks that it agrees with this module.
 """
 
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class Severity(Enum):
-    """Say how much an event matters to an operator."""
+    """Name how important an event is to an operator."""
 
     INFO = "info"
     WARNING = "warning"
@@ -18,7 +18,7 @@
 
 
 class Event(Enum):
-    """Name each event: number, severity, what it says."""
+    """List each event with its number, severity and meaning."""
 
     PROCESS_STARTED = (100, Severity.INFO, "The process serves.")
     PROCESS_DRAINING = (101, Severity.INFO, "A planned stop began; no new work.")
--- a/packages/leadford/src/leadford/events/tests/test_catalogue.py
+++ b/packages/leadford/src/leadford/events/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of events and its page say the same."""
+"""The catalogue of events and its page agree."""
 
 import re
 from pathlib import Path
