--- a/packages/leadford-server/src/leadford_server/peers/_connection.py
+++ b/packages/leadford-server/src/leadford_server/peers/_connection.py
@@ -1,9 +1,9 @@
-"""Carry messages over one authenticated websocket.
+"""Send and receive messages over one authenticated websocket.
 
-Used by every program for its links to other processes. Each frame carries the version
-of the sender's configuration and the messages that waited; a peer that does not read,
-or that sends what is no frame, is cut off. A message that only another build knows is
-skipped. Handlers decide what messages mean.
+Used by every program for its connections to other processes. Each frame carries the
+version of the sender's configuration and the queued messages. A peer that does not read
+or that sends an invalid frame is disconnected. Messages that this build does not know
+are skipped. Handlers act on the messages.
 """
 
 import asyncio
@@ -25,13 +25,13 @@
     PEER_MESSAGES_SKIPPED_TOTAL,
 )
 
-# Bytes and messages that a frame holds at most.
+# Maximum size of a received frame, and maximum number of messages in a sent one.
 FRAME_BYTES_MAX = 8 * 1024 * 1024
 FRAME_MESSAGES_MAX = 64
-# Messages that wait for a peer before it is cut off.
-OUTBOX_MAX = 20_000
-# Seconds that each step of the handshake may take.
-HANDSHAKE_S = 5.0
+# Maximum number of messages queued for a peer; at one more it is disconnected.
+OUTBOX_MESSAGES_MAX = 20_000
+# Timeout of each message of the handshake.
+HANDSHAKE_TIMEOUT_S = 5.0
 
 _FRAMES_SENT = PEER_FRAMES_TOTAL.labels(direction="sent")
 _BYTES_SENT = PEER_BYTES_TOTAL.labels(direction="sent")
@@ -40,7 +40,7 @@
 
 
 class PeerInfo(msgspec.Struct, frozen=True):
-    """Say who stands at the other end of a connection."""
+    """Identify the process at the other end of a connection."""
 
     peer_id: str
     role: str
@@ -50,23 +50,23 @@
 
 
 class PeerHandler(Protocol):
-    """Take what happens on connections."""
+    """Handle the events of connections."""
 
     def peer_connected(self, peer: "PeerConnection") -> None:
-        """Record that a connection stands."""
+        """Record that a connection is open."""
 
     def peer_lost(self, peer: "PeerConnection") -> None:
-        """Drop a connection that ended."""
+        """Remove a connection that ended."""
 
     def peer_message(self, peer: "PeerConnection", message: Message) -> None:
         """Handle one message."""
 
     def peer_version(self, peer: "PeerConnection", version: int) -> None:
-        """Record that a peer runs another configuration version than before."""
+        """Record that a peer changed to another configuration version."""
 
 
 class PeerConnection:
-    """Send and receive messages; what waits to be sent goes out as one frame."""
+    """Send and receive messages; queued messages are sent together in a frame."""
 
     def __init__(
         self,
@@ -88,11 +88,11 @@
         self.has_skipped_ = False
 
     def send(self, message: Message) -> bool:
-        """Queue a message; return whether the connection still stands."""
+        """Queue a message; return whether the connection is still open."""
         if not self.is_open_:
             return False
-        if len(self.outbox_) >= OUTBOX_MAX:
-            # A peer that does not read is cut off, so that memory stays bounded.
+        if len(self.outbox_) >= OUTBOX_MESSAGES_MAX:
+            # Disconnecting a peer that does not read bounds the memory of its queue.
             self.abort()
             return False
         self.outbox_.append(message)
@@ -100,17 +100,17 @@
         return True
 
     def announce_version(self) -> None:
-        """Tell the peer once which configuration version runs here."""
+        """Send the configuration version of this process, unless already sent."""
         self.wake_.set()
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection at once, without sending the queued messages."""
         self.is_open_ = False
         self.wake_.set()
         self.socket.transport.abort()
 
     async def close(self) -> None:
-        """Send what waits and close."""
+        """Send the queued messages, then close the connection."""
         while self.outbox_ and self.is_open_:
             await asyncio.sleep(0.01)
         self.is_open_ = False
@@ -118,7 +118,7 @@
         await self.socket.close()
 
     async def run(self, handler: PeerHandler) -> None:
-        """Serve the connection until it ends."""
+        """Read and write messages until the connection ends."""
         writer = asyncio.create_task(self._write())
         handler.peer_connected(self)
         try:
@@ -154,7 +154,7 @@
             self._count_skipped(frame)
 
     def _count_skipped(self, frame: ReceivedFrame) -> None:
-        """Count messages that this build does not know; log the first of a link."""
+        """Count messages that this build does not know; log a connection's first."""
         if not frame.skipped:
             return
         PEER_MESSAGES_SKIPPED_TOTAL.inc(len(frame.skipped))
--- a/packages/leadford-server/src/leadford_server/peers/_dialer.py
+++ b/packages/leadford-server/src/leadford_server/peers/_dialer.py
@@ -1,8 +1,8 @@
-"""Keep a connection to one peer, and connect again when it is lost.
+"""Keep a connection to one peer open, and reconnect when it is lost.
 
-Owns one outgoing connection; waits longer after each failed try, with jitter. Why a
-peer could not be reached is not logged here: `unreachable` tells the owner, and the end
-of a connection that stood is logged by its handler.
+Owns one outgoing connection; reconnects with exponential backoff and jitter. A failed
+attempt to connect is not logged here: `unreachable` notifies the owner. The handler
+logs the end of an open connection.
 """
 
 import asyncio
@@ -22,20 +22,19 @@
 )
 from leadford_server.peers._handshake import Identity, connect
 
-# Seconds that a connection may take.
-OPEN_S = 2.0
-# Seconds between pings, and until an unanswered one ends the connection.
-PING_S = 10.0
-# Seconds before connecting again, doubled with each failed try up to the most; neither
-# was measured.
-WAIT_MIN_S = 0.1
-WAIT_MAX_S = 2.0
+# Timeout of opening a connection.
+OPEN_TIMEOUT_S = 2.0
+# Interval of pings, and the time without a reply after which the connection is closed.
+PING_INTERVAL_S = 10.0
+# Delay before reconnecting; it doubles with each failed attempt up to the maximum.
+RECONNECT_DELAY_MIN_S = 0.1
+RECONNECT_DELAY_MAX_S = 2.0
 
 
 class Dialer:
-    """Hold one outgoing connection open.
+    """Keep one outgoing connection open.
 
-    `unreachable` is called for each failed try and each lost connection.
+    `unreachable` is called after each failed attempt and each lost connection.
     """
 
     def __init__(
@@ -62,30 +61,34 @@
 
     @property
     def peer(self) -> PeerConnection | None:
-        """Return the connection while it stands."""
+        """Return the connection, or None while it is not open."""
         if self.peer_ is None or not self.peer_.is_open_:
             return None
         return self.peer_
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Start connecting in a background task."""
         self.task_ = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Close the connection and stop connecting."""
+        """Close the connection and stop reconnecting."""
         if self.peer is not None:
             await self.peer.close()
         self.task_.cancel()
 
     async def _run(self) -> None:
-        wait_s = WAIT_MIN_S
+        delay_s = RECONNECT_DELAY_MIN_S
         while True:
             served = await self._connect_once()
             self.failures_ += 1
             self.unreachable()
-            wait_s = WAIT_MIN_S if served else min(WAIT_MAX_S, wait_s * 2.0)
-            # Jitter spreads the reconnects after the loss of a hall.
-            await asyncio.sleep(wait_s * self.random.uniform(0.5, 1.5))
+            delay_s = (
+                RECONNECT_DELAY_MIN_S
+                if served
+                else min(RECONNECT_DELAY_MAX_S, delay_s * 2.0)
+            )
+            # Jitter spreads the reconnects after a data hall was lost.
+            await asyncio.sleep(delay_s * self.random.uniform(0.5, 1.5))
 
     async def _connect_once(self) -> bool:
         try:
@@ -93,9 +96,9 @@
                 f"ws://{self.address}",
                 compression=None,
                 max_size=FRAME_BYTES_MAX,
-                open_timeout=OPEN_S,
-                ping_interval=PING_S,
-                ping_timeout=PING_S,
+                open_timeout=OPEN_TIMEOUT_S,
+                ping_interval=PING_INTERVAL_S,
+                ping_timeout=PING_INTERVAL_S,
                 proxy=None,
             )
         except (OSError, WebSocketException, TimeoutError):
--- a/packages/leadford-server/src/leadford_server/peers/_handshake.py
+++ b/packages/leadford-server/src/leadford_server/peers/_handshake.py
@@ -1,7 +1,7 @@
 """Agree on a protocol version and prove the shared secret in both directions.
 
-Both sides challenge each other with a nonce before any other message passes; proofs are
-made in `leadford.protocol`.
+Each side sends a nonce, and the other proves with it that it knows the secret, before
+any other message is sent. `leadford.protocol` computes the proofs.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
     make_proof,
     proof_matches,
 )
-from leadford_server.peers._connection import HANDSHAKE_S, PeerInfo
+from leadford_server.peers._connection import HANDSHAKE_TIMEOUT_S, PeerInfo
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Say who this process is to its peers."""
+    """Identify this process to its peers."""
 
     peer_id: str
     role: str
@@ -39,7 +39,7 @@
 
 async def _receive(socket: Connection, kind: type) -> Result[Message, str]:
     try:
-        data = await asyncio.wait_for(socket.recv(), HANDSHAKE_S)
+        data = await asyncio.wait_for(socket.recv(), HANDSHAKE_TIMEOUT_S)
     except (ConnectionClosed, TimeoutError) as error:
         return Failure(f"no {kind.__name__}: {type(error).__name__}")
     decoded = decode(data)
@@ -61,7 +61,7 @@
 async def accept(
     socket: Connection, identity: Identity, random: Random, draining: bool
 ) -> Result[PeerInfo, str]:
-    """Challenge a connecting peer and return who it is."""
+    """Authenticate a connecting peer and return its identity."""
     nonce = make_nonce(random)
     challenge = Challenge(
         nonce, identity.peer_id, PROTOCOL_VERSION_MIN, PROTOCOL_VERSION
@@ -77,8 +77,10 @@
         return Failure(f"{hello.peer_id}: wrong proof")
     version = _negotiate(hello.version_min, hello.version_max)
     if version is None:
-        text = f"{hello.version_min}..{hello.version_max}"
-        return Failure(f"{hello.peer_id}: no common protocol version with {text}")
+        version_range = f"{hello.version_min}..{hello.version_max}"
+        return Failure(
+            f"{hello.peer_id}: no common protocol version with {version_range}"
+        )
     proof = make_proof(identity.secret, hello.nonce, identity.peer_id, hello.peer_id)
     await socket.send(encode(0, [Welcome(version, proof, draining=draining)]))
     return Success(PeerInfo(hello.peer_id, hello.role, hello.hall, version))
@@ -87,7 +89,7 @@
 async def connect(
     socket: Connection, identity: Identity, random: Random
 ) -> Result[PeerInfo, str]:
-    """Answer a challenge and return who was reached."""
+    """Answer the challenge of a peer, authenticate it and return its identity."""
     received = await _receive(socket, Challenge)
     if isinstance(received, Failure):
         return received
--- a/packages/leadford-server/src/leadford_server/peers/_server.py
+++ b/packages/leadford-server/src/leadford_server/peers/_server.py
@@ -1,7 +1,7 @@
 """Accept connections from peers.
 
-Owns the listening socket; each connection that passes the handshake is served by a
-`PeerConnection`, one that does not is logged (event 202) and dropped.
+Owns the listening socket. A `PeerConnection` serves each connection that passes the
+handshake; one that fails it is logged (event 202) and closed.
 """
 
 from collections.abc import Callable
@@ -21,8 +21,8 @@
 from leadford_server.peers._handshake import Identity, accept
 from leadford_server.settings import SocketAddress
 
-# Seconds between pings, and until an unanswered one ends the connection.
-PING_S = 10.0
+# Interval of pings, and the time without a reply after which the connection is closed.
+PING_INTERVAL_S = 10.0
 
 
 class PeerServer:
@@ -47,15 +47,15 @@
         self.server_: Server | None = None
 
     async def start(self, address: SocketAddress) -> SocketAddress:
-        """Listen, and return the address in use."""
+        """Start listening and return the bound address."""
         self.server_ = await serve(
             self._serve,
             address.host,
             address.port,
             compression=None,
             max_size=FRAME_BYTES_MAX,
-            ping_interval=PING_S,
-            ping_timeout=PING_S,
+            ping_interval=PING_INTERVAL_S,
+            ping_timeout=PING_INTERVAL_S,
         )
         host, port = next(iter(self.server_.sockets)).getsockname()[:2]
         return SocketAddress(host, port)
--- a/packages/leadford-server/src/leadford_server/web/__init__.py
+++ b/packages/leadford-server/src/leadford_server/web/__init__.py
@@ -1,4 +1,4 @@
-"""What the HTTP calls of the processes share."""
+"""HTTP client functions that the processes share."""
 
 from leadford_server.web._fetch import NO_ANSWER, fetch, was_closed
 from leadford_server.web._transfer import Patience, Transferred, fetch_while_arriving
--- a/packages/leadford-server/src/leadford_server/web/_fetch.py
+++ b/packages/leadford-server/src/leadford_server/web/_fetch.py
@@ -1,4 +1,4 @@
-"""Make HTTP calls whose failures are answers, not exceptions."""
+"""Make HTTP calls that return failures as responses instead of raising them."""
 
 import pycurl
 from tornado.curl_httpclient import CurlError
@@ -9,9 +9,9 @@
     HTTPResponse,
 )
 
-# The status that tornado's client gives where no answer came; never on the wire.
+# Status that tornado's client sets where no response came; it is never sent.
 NO_ANSWER = 599
-# What the client says of a connection that stood and that its peer closed.
+# Error numbers of curl for an open connection that the peer closed.
 _CLOSED_BY_PEER = frozenset(
     {
         pycurl.E_GOT_NOTHING,
@@ -23,17 +23,17 @@
 
 
 async def fetch(http: AsyncHTTPClient, request: HTTPRequest | str) -> HTTPResponse:
-    """Return the answer, with status 599 when none came whole."""
+    """Return the response, with status 599 if no complete one came."""
     if isinstance(request, str):
         request = HTTPRequest(request)
     try:
-        # The client still raises for a connection that failed or timed out.
+        # The client still raises if the connection fails or times out.
         return await http.fetch(request, raise_error=False)
     except (HTTPClientError, OSError) as error:
         return HTTPResponse(request, NO_ANSWER, error=error)
 
 
 def was_closed(response: HTTPResponse) -> bool:
-    """Tell whether the peer closed the connection under a call."""
+    """Return whether the peer closed the connection during a call."""
     error = response.error
     return isinstance(error, CurlError) and error.errno in _CLOSED_BY_PEER
--- a/packages/leadford-server/src/leadford_server/web/tests/test_transfer.py
+++ b/packages/leadford-server/src/leadford_server/web/tests/test_transfer.py
@@ -1,4 +1,4 @@
-"""An answer is waited for as long as parts of it arrive, and no longer."""
+"""A call waits for a response as long as parts of it arrive, and no longer."""
 
 import asyncio
 
@@ -8,25 +8,25 @@
 from leadford_server.web import NO_ANSWER, Patience, fetch_while_arriving
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"
-# Far below the time that an answer of ten parts takes.
+# `first_s` and `stall_s` are far below the duration of a response in ten parts.
 PATIENCE = Patience(connect_s=0.6, first_s=0.3, stall_s=0.3, whole_s=10.0)
 
 
 async def fetch_from(serve):
-    """Return what is fetched from a server, and the client.
+    """Return the response of a server, and the client.
 
-    The client ends its transfers only while it lives.
+    The client ends its transfers only as long as it exists.
     """
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     http = CurlAsyncHTTPClient(force_instance=True)
-    answer = await fetch_while_arriving(
+    response = await fetch_while_arriving(
         http,
         HTTPRequest(f"http://127.0.0.1:{port}/"),
         PATIENCE,
     )
     server.close()
-    return answer, http
+    return response, http
 
 
 def test_an_answer_that_arrives_all_the_time_is_waited_for():
@@ -38,9 +38,9 @@
             await asyncio.sleep(0.1)
         writer.close()
 
-    answer, _ = asyncio.run(fetch_from(serve))
-    assert (answer.status, answer.body) == (200, b"x" * 10)
-    assert answer.took_s > PATIENCE.first_s + PATIENCE.stall_s
+    response, _ = asyncio.run(fetch_from(serve))
+    assert (response.status, response.body) == (200, b"x" * 10)
+    assert response.took_s > PATIENCE.first_s + PATIENCE.stall_s
 
 
 def test_an_answer_that_stops_is_given_up_with_what_had_come():
@@ -49,8 +49,8 @@
         await reader.read(1_000)
         await reader.read(1_000)
 
-    answer, _ = asyncio.run(fetch_from(serve))
-    assert (answer.status, answer.body) == (NO_ANSWER, b"xxx")
+    response, _ = asyncio.run(fetch_from(serve))
+    assert (response.status, response.body) == (NO_ANSWER, b"xxx")
 
 
 def test_an_answer_that_does_not_begin_is_given_up():
@@ -58,8 +58,8 @@
         await reader.read(1_000)
         await reader.read(1_000)
 
-    answer, _ = asyncio.run(fetch_from(serve))
-    assert (answer.status, answer.body) == (NO_ANSWER, b"")
+    response, _ = asyncio.run(fetch_from(serve))
+    assert (response.status, response.body) == (NO_ANSWER, b"")
 
 
 def test_the_connection_of_an_answer_that_was_given_up_is_closed():
@@ -72,8 +72,8 @@
         closed.set()
 
     async def main():
-        answer, http = await fetch_from(serve)
-        assert answer.status == NO_ANSWER
+        response, http = await fetch_from(serve)
+        assert response.status == NO_ANSWER
         async with asyncio.timeout(5.0):
             await closed.wait()
         http.close()
