--- a/packages/leadford-server/src/leadford_server/clock/__init__.py
+++ b/packages/leadford-server/src/leadford_server/clock/__init__.py
@@ -1,7 +1,7 @@
-"""Tell the time, also that in which the host was suspended.
+"""Clocks that include the time in which the host was suspended.
 
-Both programs take their moments from here: the loop that they run on, and `boot_time`
-where no loop is at hand.
+Both programs read the time here: from the event loop that they run on, or from
+`boot_time` where they have no loop.
 """
 
 from leadford_server.clock._boot import BootClockLoop, boot_time, new_loop
--- a/packages/leadford-server/src/leadford_server/clock/_boot.py
+++ b/packages/leadford-server/src/leadford_server/clock/_boot.py
@@ -1,9 +1,10 @@
 """Run the event loop on the time since boot.
 
-The steady clock stands still while a host is suspended, so an entry that woke would
-take leases, news and deadlines from before for fresh. Ages and deadlines that are
-compared with the time of this loop count the suspension. Its timers do not: they rest
-on the steady clock, and fire late by as long (`_suspension` tells when).
+The monotonic clock stops while a host is suspended. With that clock, an entry that
+resumes would take leases, news and deadlines from before the suspension for current.
+Ages and deadlines that are compared with the time of this loop include the suspension.
+Its timers do not: they use the monotonic clock, and fire late by the length of the
+suspension, which `_suspension` detects.
 """
 
 import time
@@ -13,7 +14,7 @@
 
 
 def boot_time() -> float:
-    """Return the time since boot, suspensions included.
+    """Return the time since boot, including suspensions.
 
     Units: seconds.
     """
@@ -21,17 +22,22 @@
 
 
 class BootClockLoop(uvloop.Loop):
-    """Tell the time since boot as the time of the loop."""
+    """Use the time since boot as the time of the loop."""
 
     def __init__(self, *, clock: Callable[[], float] = boot_time) -> None:
         super().__init__()
         self.clock = clock
 
     def time(self) -> float:
-        """Return the moment, in 0.19 us, 0.14 us more than without it (mean of 1e6)."""
+        """Return the time since boot.
+
+        A call takes 0.19 us, 0.14 us more than that of the base class.
+
+        Units: seconds.
+        """
         return self.clock()
 
 
 def new_loop() -> BootClockLoop:
-    """Return a loop for a program."""
+    """Return a new event loop for a program."""
     return BootClockLoop()
--- a/packages/leadford-server/src/leadford_server/clock/_suspension.py
+++ b/packages/leadford-server/src/leadford_server/clock/_suspension.py
@@ -1,14 +1,14 @@
-"""Notice that the host was suspended, by two clocks of which one stood still."""
+"""Detect suspensions of the host: one of two clocks stops during them."""
 
 from collections.abc import Callable
 
-# Seconds by which the clocks must part to count as a suspension: more than reading them
-# one after the other takes while the process waits for a processor.
-SUSPENDED_LEAST_S = 0.2
+# Minimum difference of the clocks that counts as a suspension: longer than the time
+# between the two reads, even if the process waits for a processor.
+SUSPENSION_MIN_S = 0.2
 
 
 class SuspensionWatch:
-    """Compare the steady clock with the one that counts suspensions.
+    """Compare the monotonic clock with the one that includes suspensions.
 
     Units: both clocks return seconds.
     """
@@ -21,13 +21,13 @@
         self.offset_s_: float | None = None
 
     def slept_s(self) -> float:
-        """Return how long the host was suspended since the last call, 0 if it was not.
+        """Return how long the host was suspended since the last call, or 0.
 
         Units: seconds.
         """
         offset_s = self.boot() - self.steady()
-        before_s = self.offset_s_
+        previous_offset_s = self.offset_s_
         self.offset_s_ = offset_s
-        if before_s is None or offset_s - before_s < SUSPENDED_LEAST_S:
+        if previous_offset_s is None or offset_s - previous_offset_s < SUSPENSION_MIN_S:
             return 0.0
-        return offset_s - before_s
+        return offset_s - previous_offset_s
--- a/packages/leadford-server/src/leadford_server/clock/tests/test_suspension.py
+++ b/packages/leadford-server/src/leadford_server/clock/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A suspension is noticed once, and time that merely passes is none."""
+"""A suspension is reported once, and other time that passes is not reported."""
 
 from leadford_server.clock import SuspensionWatch
 
@@ -13,33 +13,33 @@
         self.boot += seconds
 
 
-def watch(clocks):
-    found = SuspensionWatch(boot=lambda: clocks.boot, steady=lambda: clocks.steady)
-    assert found.slept_s() == 0.0
-    return found
+def make_watch(clocks):
+    watch = SuspensionWatch(boot=lambda: clocks.boot, steady=lambda: clocks.steady)
+    assert watch.slept_s() == 0.0
+    return watch
 
 
 def test_a_suspension_is_noticed_once():
     clocks = Clocks()
-    found = watch(clocks)
+    watch = make_watch(clocks)
     clocks.pass_time(1.0)
     clocks.boot += 10.0
-    assert found.slept_s() == 10.0
+    assert watch.slept_s() == 10.0
     clocks.pass_time(1.0)
-    assert found.slept_s() == 0.0
+    assert watch.slept_s() == 0.0
 
 
 def test_time_that_passes_is_no_suspension():
     clocks = Clocks()
-    found = watch(clocks)
+    watch = make_watch(clocks)
     clocks.pass_time(30.0)
     clocks.boot += 0.1
-    assert found.slept_s() == 0.0
+    assert watch.slept_s() == 0.0
 
 
 def test_two_short_suspensions_count_apart():
     clocks = Clocks()
-    found = watch(clocks)
+    watch = make_watch(clocks)
     for _ in range(2):
         clocks.boot += 0.5
-        assert found.slept_s() == 0.5
+        assert watch.slept_s() == 0.5
--- a/packages/leadford-server/src/leadford_server/logs/__init__.py
+++ b/packages/leadford-server/src/leadford_server/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Structured logs: numbered events as one JSON object a line."""
+"""Structured logs: numbered events, each a line with one JSON object."""
 
 from leadford_server.logs._events import EventLog
 
--- a/packages/leadford-server/src/leadford_server/logs/_events.py
+++ b/packages/leadford-server/src/leadford_server/logs/_events.py
@@ -1,6 +1,6 @@
 """Write events to the log, the journal and the metrics.
 
-One line of JSON an event, with its number in the catalogue (docs/EVENTS.md). The
+Each event is one line of JSON with its number in the catalogue (docs/EVENTS.md). The
 journal keeps the last events in memory for operators' queries.
 """
 
@@ -20,14 +20,14 @@
 
 
 class EventLog:
-    """Report events of one process."""
+    """Report the events of one process."""
 
     def __init__(self, *, process_id: str) -> None:
         self.process_id = process_id
         self.journal_ = EventJournal()
 
     def report(self, event: Event, **fields: str | int | float) -> EventRecord:
-        """Log one event with its number and fields."""
+        """Log, record and count one event with its fields."""
         record = self.journal_.add(event, time.time(), fields)
         EVENTS_TOTAL.labels(event=event.name.lower()).inc()
         line = {
--- a/packages/leadford-server/src/leadford_server/main.py
+++ b/packages/leadford-server/src/leadford_server/main.py
@@ -1,8 +1,8 @@
 """Run `leadfordd entry` or `leadfordd agent`.
 
-Each is one process of leadford's own interface. Settings come from arguments or the
-environment. A process serves until SIGTERM or SIGINT, and ends what runs before it
-exits.
+Each command runs one process of leadford's own interface. Its settings come from flags
+or environment variables. A process serves until SIGTERM or SIGINT, then lets
+running work end before it exits.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
     with_environment,
 )
 
-# Exit status where settings are wrong; each fault is printed.
+# Exit status for invalid settings; each fault is printed.
 EXIT_SETTINGS = 2
 
 
@@ -82,7 +82,7 @@
     secret: str = "",
     verbosity: str = "info",
 ) -> int:
-    """Stand beside one endpoint: queue, run and keep its work.
+    """Run beside one endpoint: queue, run and keep its work.
 
     :param endpoint_id: name of the endpoint in the configuration
     :param host_id: name of the host it runs on
@@ -126,8 +126,8 @@
     process = process_class(settings=settings)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     await process.start()
     await stop.wait()
     await process.drain()
@@ -135,7 +135,7 @@
 
 
 def main() -> None:
-    """Parse flags and environment and run the chosen role."""
+    """Parse flags and environment variables and run the given role."""
     roles = {"entry": entry, "agent": agent}
     arguments = sys.argv[1:]
     if arguments and arguments[0] in roles:
--- a/packages/leadford-server/src/leadford_server/metrics/_metrics.py
+++ b/packages/leadford-server/src/leadford_server/metrics/_metrics.py
@@ -1,7 +1,7 @@
-"""Define the metrics and the page that shows them.
+"""Define the metrics and the HTTP handler that exposes them.
 
-All metrics of both programs stand here, so that a name is used once; a program counts
-in those that it has a use for.
+All metrics of both programs are defined here, so that each name is used only once. Each
+program updates only the metrics that apply to it.
 """
 
 from prometheus_client import (
@@ -13,10 +13,10 @@
 )
 from tornado import web
 
-_SECONDS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.4, 2.0, 5.0, 15.0)
+_BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.4, 2.0, 5.0, 15.0)
 
-# Seconds; closest around the time that deployments give entries to catch up with the
-# store, 3 to 5 s.
+# Finest around 3 to 5 s, the time that deployments allow entries to catch up with the
+# store.
 _GAP_SECONDS = (0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 3.5, 4.0, 5.0, 7.0, 10.0, 15.0, 30.0)
 
 EVENTS_TOTAL = Counter("leadford_events_total", "Events by name.", ["event"])
@@ -26,10 +26,10 @@
     ["pipeline", "outcome", "reason"],
 )
 REQUEST_SECONDS = Histogram(
-    "leadford_request_seconds", "Whole requests.", ["pipeline"], buckets=_SECONDS
+    "leadford_request_seconds", "Whole requests.", ["pipeline"], buckets=_BUCKETS_S
 )
 FIRST_TOKEN_SECONDS = Histogram(
-    "leadford_first_token_seconds", "First tokens.", ["pipeline"], buckets=_SECONDS
+    "leadford_first_token_seconds", "First tokens.", ["pipeline"], buckets=_BUCKETS_S
 )
 TOKENS_TOTAL = Counter("leadford_tokens_total", "Tokens relayed to callers.")
 ATTEMPTS_TOTAL = Counter(
@@ -112,10 +112,10 @@
     "leadford_forward_seconds",
     "Forwarded requests until the first byte of the answer.",
     ["kind"],
-    buckets=_SECONDS,
+    buckets=_BUCKETS_S,
 )
 STAGE_SECONDS = Histogram(
-    "leadford_stage_seconds", "Stages before a request.", buckets=_SECONDS
+    "leadford_stage_seconds", "Stages before a request.", buckets=_BUCKETS_S
 )
 PIECE_CALLS_TOTAL = Counter(
     "leadford_piece_calls_total", "Calls of batched stages by end.", ["end"]
@@ -127,9 +127,9 @@
 
 
 class MetricsHandler(web.RequestHandler):
-    """Show the metrics."""
+    """Serve the metrics."""
 
     def get(self) -> None:
-        """Answer with the text format of Prometheus."""
+        """Respond with the metrics in the text format of Prometheus."""
         self.set_header("Content-Type", CONTENT_TYPE_LATEST)
         self.finish(generate_latest())
--- a/packages/leadford-server/src/leadford_server/settings/__init__.py
+++ b/packages/leadford-server/src/leadford_server/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the processes, from flags and environment variables."""
+"""Settings of the processes, read from flags and environment variables."""
 
 from leadford_server.settings._flags import with_environment
 from leadford_server.settings._model import (
--- a/packages/leadford-server/src/leadford_server/settings/_model.py
+++ b/packages/leadford-server/src/leadford_server/settings/_model.py
@@ -1,7 +1,7 @@
-"""Define the settings of each role of the own interface and check them whole.
+"""Define and check the settings of each role of leadford's own interface.
 
-Every fault is reported with its flag and variable, not only the first. `SocketAddress`
-is used by the forwarding entry too, whose settings the platform's adapter reads.
+Reports all faults of the settings at once, each with its flag and variable. The
+forwarding entry uses `SocketAddress` too; the platform's adapter reads its settings.
 """
 
 import ipaddress
@@ -11,14 +11,14 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-# Bytes that the secret of a fleet must have.
+# Minimum length of the secret of a fleet.
 SECRET_BYTES_MIN = 16
-NAME = re.compile(r"^[a-z0-9][a-z0-9_.-]{0,62}$")
-STORE_URL = re.compile(r"^http://[0-9.\[\]:a-fA-F]+$")
+NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9_.-]{0,62}$")
+URL_PATTERN = re.compile(r"^http://[0-9.\[\]:a-fA-F]+$")
 
 
 class SettingFault(msgspec.Struct, frozen=True):
-    """Name one fault of the settings."""
+    """Describe one fault of the settings."""
 
     name: str
     message: str
@@ -39,7 +39,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Result["SocketAddress", str]:
-        """Return the address in a text such as 127.0.0.1:8000."""
+        """Parse an address such as 127.0.0.1:8000."""
         host, _, port = text.rpartition(":")
         host = host.strip("[]")
         try:
@@ -79,20 +79,20 @@
 
 
 class _Checker:
-    """Collect the faults of settings while turning them into values."""
+    """Convert settings to values and collect their faults."""
 
     def __init__(self) -> None:
         self.faults_: list[SettingFault] = []
 
     def name(self, name: str, value: str) -> str:
         """Check the name of a process, host or hall."""
-        if not NAME.match(value):
-            text = f"expected lower-case letters, digits, _.- , got {value!r}"
-            self.faults_.append(SettingFault(name, text))
+        if not NAME_PATTERN.match(value):
+            message = f"expected lower-case letters, digits, _.- , got {value!r}"
+            self.faults_.append(SettingFault(name, message))
         return value
 
     def address(self, name: str, value: str) -> SocketAddress:
-        """Parse an address; a faulty one stands as port 0 until `done` fails."""
+        """Parse an address; return port 0 for an invalid one, on which `done` fails."""
         parsed = SocketAddress.parse(value)
         if isinstance(parsed, Failure):
             self.faults_.append(SettingFault(name, parsed.failure()))
@@ -100,21 +100,21 @@
         return parsed.unwrap()
 
     def url(self, name: str, value: str) -> str:
-        """Check a URL, and take a slash off its end."""
-        if not STORE_URL.match(value.rstrip("/")):
-            text = f"expected http://IP:PORT, got {value!r}"
-            self.faults_.append(SettingFault(name, text))
+        """Check a URL and return it without trailing slashes."""
+        if not URL_PATTERN.match(value.rstrip("/")):
+            message = f"expected http://IP:PORT, got {value!r}"
+            self.faults_.append(SettingFault(name, message))
         return value.rstrip("/")
 
     def secret(self, name: str, value: str) -> bytes:
         """Check that a secret is long enough."""
         if len(value.encode()) < SECRET_BYTES_MIN:
-            text = f"expected at least {SECRET_BYTES_MIN} bytes"
-            self.faults_.append(SettingFault(name, text))
+            message = f"expected at least {SECRET_BYTES_MIN} bytes"
+            self.faults_.append(SettingFault(name, message))
         return value.encode()
 
     def done(self, build: Callable[[], object]) -> Result:
-        """Return the settings, or every fault that was collected."""
+        """Return the settings, or the collected faults if there are any."""
         if self.faults_:
             return Failure(tuple(self.faults_))
         return Success(build())
@@ -132,7 +132,7 @@
     seeds: str,
     hosts_url: str,
 ) -> Result[EntrySettings, tuple[SettingFault, ...]]:
-    """Return the settings of an entry, or every fault in them."""
+    """Return the checked settings of an entry, or all their faults."""
     checker = _Checker()
     seed_texts = [text for text in seeds.split(",") if text]
     settings = EntrySettings(
@@ -160,7 +160,7 @@
     store: str,
     secret: str,
 ) -> Result[AgentSettings, tuple[SettingFault, ...]]:
-    """Return the settings of an agent, or every fault in them."""
+    """Return the checked settings of an agent, or all their faults."""
     checker = _Checker()
     settings = AgentSettings(
         endpoint_id=checker.name("endpoint_id", endpoint_id),
--- a/packages/leadford-server/src/leadford_server/tests/test_layers.py
+++ b/packages/leadford-server/src/leadford_server/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The two programs of the server package stay apart, on one shared ground."""
+"""The two programs import nothing of each other; shared folders import neither."""
 
 import ast
 from pathlib import Path
@@ -6,7 +6,7 @@
 import leadford_server
 
 ROOT = Path(leadford_server.__file__).parent
-GROUND = ("clock", "logs", "metrics", "peers", "quarantine", "settings", "web")
+SHARED_FOLDERS = ("clock", "logs", "metrics", "peers", "quarantine", "settings", "web")
 
 
 def imported_modules(path):
@@ -42,6 +42,6 @@
         "leadford_server.forwarding",
         "leadford_server.pipelines",
     )
-    for part in GROUND:
+    for part in SHARED_FOLDERS:
         found = imports_of(part)
         assert not [pair for pair in found if pair[1].startswith(programs)], part
