--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_plain.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain requests run at most as often as they may, and slow endpoints are left."""
+"""Limit how often plain requests run, and retry safe ones if an endpoint is slow."""
 
 import pytest
 
@@ -52,7 +52,7 @@
 )
 def test_a_safe_request_is_tried_at_another_endpoint(misbehaviour):
     async def scenario(deployment):
-        # The endpoint of the entry's own hall is asked first.
+        # The entry first tries the endpoint of its own hall.
         first, second = deployment.plain
         first.next_.append(misbehaviour)
         answer = await deployment.send("/safe/x", request_id="r1", method="GET")
@@ -102,11 +102,12 @@
 
 
 def test_a_safe_request_is_not_broken_off_where_no_other_endpoint_is_left():
-    """A safe request ended with 502, reason "lost: slow", retry "no-other-endpoint".
+    """Failure: a safe request ended with 502, reason "lost: slow".
 
-    Its hall had been evacuated, so one endpoint was left, and the process was held up
-    for a moment. The answer waited to be read when the attempt was broken off, after
-    3.5 times what is usual, so that another could follow; there was none.
+    Its hall was evacuated, so one endpoint was left, and the process did not run for a
+    moment. The answer was ready to be read when the attempt was cancelled, after 3.5
+    times the usual duration, for a retry at another endpoint. There was none (retry
+    "no-other-endpoint").
     """
 
     async def scenario(deployment):
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_relayed_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_relayed_store.py
@@ -1,4 +1,4 @@
-"""In a fleet a few entries follow the store, and the others know what it says."""
+"""Relay changes in the store from the few entries that follow it to all others."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 ENTRIES = 9
 
 
-def resting(deployment):
+def non_followers(deployment):
     return [e for e in deployment.entries_ if not e.links_.relays.is_follower]
 
 
-async def settle(deployment):
-    """Wait until all entries know each other, and so agree on who follows."""
+async def wait_until_followers_known(deployment):
+    """Wait until all entries know each other and agree on which ones follow."""
     await deployment.until(
         lambda: all(
             len(e.members_.entries_by_id_) == ENTRIES
@@ -23,16 +23,16 @@
     await deployment.until(
         lambda: all(
             e.links_.relays.clocks_by_peer_.keys() >= e.links_.relays.followers()
-            for e in resting(deployment)
+            for e in non_followers(deployment)
         )
     )
 
 
 def test_entries_that_rest_hear_of_every_change():
     async def scenario(deployment):
-        await settle(deployment)
-        assert len(resting(deployment)) == ENTRIES - 2
-        for entry in resting(deployment):
+        await wait_until_followers_known(deployment)
+        assert len(non_followers(deployment)) == ENTRIES - 2
+        for entry in non_followers(deployment):
             turn_away(entry)
         gone = deployment.plain[0].endpoint_id
         deployment.store.delete("servers", gone)
@@ -55,17 +55,18 @@
 
 def test_entries_that_rest_ask_the_store_once_those_that_follow_are_deaf():
     async def scenario(deployment):
-        await settle(deployment)
+        await wait_until_followers_known(deployment)
         for entry in deployment.entries_:
             if entry.links_.relays.is_follower:
                 turn_away(entry)
-        # Watches that wait already still end as the store says.
+        # The store still answers pending watches.
         await asyncio.sleep(2.0)
         gone = deployment.plain[0].endpoint_id
         deployment.store.delete("servers", gone)
         await deployment.until(
             lambda: all(
-                gone not in e.state_.roster_.known_ids() for e in resting(deployment)
+                gone not in e.state_.roster_.known_ids()
+                for e in non_followers(deployment)
             )
         )
 
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_requests.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Callers of each kind get whole answers, true refusals and clear denials."""
+"""Answer callers of each kind with complete answers, true refusals or denials."""
 
 import asyncio
 
@@ -17,12 +17,12 @@
         answer = await deployment.send("/unsafe/x?y=z", request_id="r1")
         assert answer.code == 200 and answer.body.endswith(b" payload")
         assert answer.headers["X-Server-Stamp"].startswith("stamp.")
-        sent = runs_of(deployment.plain, "r1")
-        assert len(sent) == 1
-        assert (sent[0].method, sent[0].target) == ("POST", "/unsafe/x?y=z")
-        assert sent[0].headers["X-Tenant"] == "workspace-1"
-        assert "Authorization" not in sent[0].headers
-        assert int(sent[0].headers["X-Deadline-Ms"]) <= 3_000
+        runs = runs_of(deployment.plain, "r1")
+        assert len(runs) == 1
+        assert (runs[0].method, runs[0].target) == ("POST", "/unsafe/x?y=z")
+        assert runs[0].headers["X-Tenant"] == "workspace-1"
+        assert "Authorization" not in runs[0].headers
+        assert int(runs[0].headers["X-Deadline-Ms"]) <= 3_000
         answer = await deployment.send("/safe/x", request_id="r2", method="GET")
         assert answer.code == 200
         for path in ("/resumed/x", "/once/x"):
@@ -41,8 +41,8 @@
             endpoint.next_.append(Misbehaviour.REFUSE)
         answer = await deployment.send_with_retries("/unsafe/x", request_id="r1")
         assert answer.code == 200
-        ran = [run for endpoint in deployment.plain for run in endpoint.runs_]
-        assert len(ran) == 2
+        runs = [run for endpoint in deployment.plain for run in endpoint.runs_]
+        assert len(runs) == 2
 
     play(scenario)
 
@@ -88,8 +88,8 @@
             deployment.send("/resumed/x", request_id="r1", deadline_ms=20_000)
         )
         await deployment.until(lambda: any(e.runs_ for e in deployment.engines))
-        reader = deployment.entries_[0].caller_server_.exchanges_
-        for exchange in list(reader):
+        exchanges = deployment.entries_[0].caller_server_.exchanges_
+        for exchange in list(exchanges):
             exchange._on_caller_disconnected()
         await deployment.until(lambda: any(e.left_early_ for e in deployment.engines))
         sent.cancel()
@@ -112,7 +112,7 @@
 
 
 async def exchange_bytes(entry, request):
-    """Send bytes and return the first line of the answer, or nothing."""
+    """Send bytes and return the first line of the answer; empty if there is none."""
     callers = entry.settings.callers
     reader, writer = await asyncio.open_connection(callers.host, callers.port)
     writer.write(request)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_restored_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""The store may come back from a copy, and give the same revisions out again."""
+"""Handle a store that is restored from a copy and assigns the same revisions again."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 ENTRIES = 9
 
 
-async def settle(deployment):
-    """Wait until all entries know each other, and so agree on who follows."""
+async def wait_until_followers_known(deployment):
+    """Wait until all entries know each other and agree on which ones follow."""
     relays = [entry.links_.relays for entry in deployment.entries_]
     await deployment.until(
         lambda: (
@@ -24,7 +24,7 @@
 
 
 async def change_config(deployment):
-    """Put another configuration in force, and wait until every entry runs it."""
+    """Write a new configuration and wait until it is in force on every entry."""
     deployment.config["version"] += 1
     deployment.put_config()
     version = deployment.config["version"]
@@ -33,31 +33,31 @@
     )
 
 
-async def restore(deployment, copy, *, away_s):
-    """Let the store be away, and come back from a copy."""
+async def restore_store(deployment, copy, *, outage_s):
+    """Make the store unavailable for a time, then restore it from a copy."""
     deployment.store.fault = StoreFault.RESET
-    await asyncio.sleep(away_s)
+    await asyncio.sleep(outage_s)
     deployment.store.restore(copy)
     deployment.store.fault = StoreFault.NONE
 
 
 def test_an_endpoint_that_leaves_after_the_store_was_restored_is_known_to_leave():
     async def scenario(deployment):
-        await settle(deployment)
+        await wait_until_followers_known(deployment)
         copy = deployment.store.copy()
         for _ in range(2):
             await change_config(deployment)
-        await restore(deployment, copy, away_s=1.0)
-        # The second of three revisions that are given out again.
-        leaver = deployment.plain[0]
+        await restore_store(deployment, copy, outage_s=1.0)
+        # The second of three revisions that the store assigns again.
+        leaving = deployment.plain[0]
         deployment.config["version"] += 1
         deployment.put_config()
-        deployment.store.put("servers", leaver.endpoint_id, leaver.spec("draining"))
+        deployment.store.put("servers", leaving.endpoint_id, leaving.spec("draining"))
         deployment.config["version"] += 1
         deployment.put_config()
         rosters = [entry.state_.roster_ for entry in deployment.entries_]
         await deployment.until(
-            lambda: all(leaver.endpoint_id in r.leaving_ids_ for r in rosters)
+            lambda: all(leaving.endpoint_id in r.leaving_ids_ for r in rosters)
         )
 
     play(scenario, entries=ENTRIES)
@@ -65,12 +65,12 @@
 
 def test_entries_that_a_restored_store_has_lost_are_listed_again():
     async def scenario(deployment):
-        await settle(deployment)
+        await wait_until_followers_known(deployment)
         copy = deployment.store.copy()
         listed = copy.objects_by_kind["leadford-entries"]
         for name in ("entry-0", "entry-5"):
             del listed[name]
-        await restore(deployment, copy, away_s=0.5)
+        await restore_store(deployment, copy, outage_s=0.5)
         entries = deployment.store.objects_by_kind_["leadford-entries"]
         await deployment.until(lambda: len(entries) == ENTRIES)
         known = [e.links_.fleet.entry_count() for e in deployment.entries_]
@@ -84,7 +84,7 @@
         copy = deployment.store.copy()
         deployment.config["tenants"][0]["apiKeys"] = ["key-2"]
         await change_config(deployment)
-        await restore(deployment, copy, away_s=0.5)
+        await restore_store(deployment, copy, outage_s=0.5)
         (entry,) = deployment.entries_
         await deployment.until(lambda: entry.state_.epochs_.current_ == 2)
         await asyncio.sleep(0.5)
