--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_silent_connections.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good, while new ones work, are left by themselves."""
+"""Replace connections that stay silent while new connections work."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class SilenceableProxy:
-    """Pass connections on; those that stand can be silenced without a close."""
+    """Forward connections; open ones can be silenced without being closed."""
 
     def __init__(self):
         self.target = None
@@ -19,18 +19,18 @@
         return f"{host}:{port}"
 
     def silence(self):
-        """Pass nothing more on over the connections that stand now."""
+        """Stop forwarding data on the connections that are open now."""
         self.generation_ += 1
 
     async def _serve(self, reader, writer):
         while self.target is None:
             await asyncio.sleep(0.01)
         host, _, port = self.target.rpartition(":")
-        there = await asyncio.open_connection(host, int(port))
+        target_streams = await asyncio.open_connection(host, int(port))
         self.opened_ += 1
         await asyncio.gather(
-            self._pass(reader, there[1], self.generation_),
-            self._pass(there[0], writer, self.generation_),
+            self._pass(reader, target_streams[1], self.generation_),
+            self._pass(target_streams[0], writer, self.generation_),
         )
 
     async def _pass(self, reader, writer, generation):
@@ -44,31 +44,33 @@
     async def scenario(deployment):
         proxies = [SilenceableProxy(), SilenceableProxy()]
         for number, proxy in enumerate(proxies):
-            # An entry does not overwrite what the store has of it.
+            # An entry does not overwrite its own record in the store.
             spec = {"peers": await proxy.start(), "zone": f"hall-{number}"}
             deployment.store.put("leadford-entries", f"entry-{number}", spec)
         for number, proxy in enumerate(proxies):
             entry = await deployment.start_entry(number)
             proxy.target = str(entry.settings.peers)
 
-        def live():
+        def have_live_peers():
             return [bool(e.links_.halls_by_live_entry()) for e in deployment.entries_]
 
-        def links():
+        def peer_sets():
             return [set(e.links_.peers_by_id_.values()) for e in deployment.entries_]
 
-        def are_new():
+        def are_replaced():
             return not any(
-                now & before for now, before in zip(links(), silenced, strict=True)
+                now & before for now, before in zip(peer_sets(), silenced, strict=True)
             )
 
-        await deployment.until(lambda: live() == [True, True])
-        silenced = links()
+        await deployment.until(lambda: have_live_peers() == [True, True])
+        silenced = peer_sets()
         for proxy in proxies:
             proxy.silence()
-        # Silence is noticed by heartbeats alone. For how long both are without a live
-        # peer at once is up to the moments at which each of them looks.
-        await deployment.until(lambda: are_new() and live() == [True, True])
+        # Only missing heartbeats show the silence. How long both entries are without a
+        # live peer at the same time depends on when each of them checks.
+        await deployment.until(
+            lambda: are_replaced() and have_live_peers() == [True, True]
+        )
 
     play(scenario, entries=0)
 
@@ -83,7 +85,7 @@
         proxy.silence()
         deployment.config["version"] = 2
         deployment.put_config()
-        # A watch of 1.8 s is given up 0.35 s later, its successor hears of the change.
+        # The entry cancels a watch of 1.8 s 0.35 s later; the next one gets the change.
         await deployment.until(
             lambda: entry.state_.config_version() == 2, timeout_s=3.5
         )
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_stages.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""Stages give each request its own results, made again where they are lost."""
+"""Give each request its own stage results, and recompute the ones that are lost."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
             assert first["privateKey"] == f"pk-{name}" and "inputs" not in first
             second = made[name, 1, 0]
             assert len(second["inputs"]) == 2 and "privateKey" not in second
-        # Calls carried pieces of several requests.
+        # Calls batched pieces of several requests.
         assert max(max(stage.calls_) for stage in deployment.stage) > 2
         await deployment.until(
             lambda: not any(stage.results_ for stage in deployment.stage)
@@ -34,16 +34,16 @@
 @pytest.mark.parametrize("entry", [0, 1])
 def test_inputs_are_released_while_the_call_that_reads_them_runs(entry):
     async def scenario(deployment):
-        # Calls last as long as the configuration says, or they would be given up.
+        # An entry cancels calls that last much longer than the configuration says.
         await deployment.declare_call_ms(250.0)
         for stage in deployment.stage:
             stage.call_s = 0.25
-        # The first request leaves reports of load behind.
+        # Load reports are available after the first request.
         for name in ("r1", "r2"):
             answer = await deployment.send("/once/x", request_id=name, entry=entry)
             assert answer.code == 200
         assert sum(stage.freed_in_call_ for stage in deployment.stage) > 0
-        # Nothing was given up before it had been fetched.
+        # No result was released before it was fetched.
         assert sum(stage.gone_ for stage in deployment.stage) == 0
         assert sum(stage.results_read_ for stage in deployment.stage) == 4
         await deployment.until(
@@ -99,9 +99,10 @@
 def test_a_call_that_waits_for_a_connection_does_not_follow_an_endpoint_that_left():
     """Symptom: pieces reached an endpoint long after it was listed as draining.
 
-    Sequence: the one connection that this process may hold to the endpoint carries a
-    call, so the next call waits for it; the endpoint says that it leaves; the first
-    call ends. Cause: what was chosen before the wait was not looked at after it.
+    Sequence: the only connection that this process may open to the endpoint is in use
+    by a call, so the next call waits for it; the endpoint is listed as draining; the
+    first call ends. Cause: the endpoint that was chosen before the wait was not checked
+    again after it.
     """
 
     async def scenario(deployment):
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_stop_writes_out.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_stop_writes_out.py
@@ -1,4 +1,4 @@
-"""A planned stop does not end before what it has answered is on its way."""
+"""Complete a planned stop only after all answers are written to the callers."""
 
 import asyncio
 import socket
@@ -7,19 +7,19 @@
 
 from leadford_standins.wire import play
 
-# More than the kernel holds for a caller with a small window.
+# More than the kernel buffers for a caller with a small receive window.
 BODY_BYTES = 8 * 1024 * 1024
-# Seconds after the begin of the stop at which the caller goes on reading: later than
-# the least time of a stop, with most of the grace period left.
-READS_AT_S = 4.0
+# Time from the start of the stop until the caller reads on: longer than the minimum
+# duration of a stop, with most of the grace period left.
+READ_DELAY_S = 4.0
 
 
 def test_a_planned_stop_waits_until_an_answer_has_left():
-    """The last part of an answer is lost, though the endpoint gave it whole.
+    """Failure: the end of an answer is lost, though the endpoint sent all of it.
 
-    Sequence: a plain answer is written at once, and its request counts as over; what
-    the link does not take at once waits in the process; nothing runs, so the stop ends
-    the process, and what waited is lost.
+    Sequence: a plain answer is written in one call, and its request counts as ended;
+    data that the connection does not accept at once is buffered in the process; no
+    request is running, so the stop ends the process, and the buffered data is lost.
     """
 
     async def scenario(deployment):
@@ -29,7 +29,7 @@
         deployment.put_config()
         await deployment.until(lambda: entry.state_.table_.config.version == 2)
         for endpoint in deployment.plain:
-            # What it is sent comes back, so the answer is as large.
+            # The endpoint echoes the body, so the answer is as large.
             endpoint.work_s = 0.1
         callers = entry.settings.callers
         sock = socket.socket()
@@ -55,13 +55,13 @@
         assert any(stream.writing() for stream in streams)
 
         async def read_late():
-            await asyncio.sleep(READS_AT_S)
+            await asyncio.sleep(READ_DELAY_S)
             while await loop.sock_recv(sock, 1 << 20):
                 continue
 
         reading = asyncio.ensure_future(read_late())
         await entry.drain()
-        # The process ends here, and with it what still waits to be written.
+        # The process ends here, and data that is not yet written is lost.
         unsent = [stream for stream in streams if stream.writing()]
         reading.cancel()
         sock.close()
@@ -70,25 +70,25 @@
     play(scenario)
 
 
-async def stop_after(entry, wait_s):
+async def drain_after(entry, wait_s):
     await asyncio.sleep(wait_s)
     await entry.drain()
 
 
-@pytest.mark.parametrize("taken_after_s", [-0.5, 0.3])
+@pytest.mark.parametrize("sent_after_s", [-0.5, 0.3])
 def test_a_request_that_reached_no_endpoint_is_refused_before_a_stop_ends(
-    taken_after_s,
+    sent_after_s,
 ):
     async def scenario(deployment):
         for route in deployment.config["routes"]:
             route["timeoutMs"] = 20_000
         await deployment.declare_call_ms(20.0)
         for stage in deployment.stage:
-            # Its pieces wait for room, and nothing says that they will not be made.
+            # Its pieces wait for room, and nothing reports that they will not run.
             stage.room = 0
         (entry,) = deployment.entries_
-        stopping = asyncio.ensure_future(stop_after(entry, max(0.0, -taken_after_s)))
-        await asyncio.sleep(max(0.0, taken_after_s))
+        stopping = asyncio.ensure_future(drain_after(entry, max(0.0, -sent_after_s)))
+        await asyncio.sleep(max(0.0, sent_after_s))
         answer = await deployment.send("/resumed/x", request_id="r", deadline_ms=15_000)
         await stopping
         assert answer.code == 503
