--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_store.py
@@ -1,4 +1,8 @@
-"""The store may be away, slow, forgetful or one-sided; requests go on."""
+"""Serve requests while the store has faults.
+
+It may be unavailable or slow, lose records or its history of changes, leave watches
+unanswered, or refuse the calls of one entry.
+"""
 
 import asyncio
 import copy
@@ -48,7 +52,7 @@
 def test_endpoints_that_go_and_come_back_in_one_answer_of_the_store_are_used():
     async def scenario(deployment):
         entry = deployment.entries_[0]
-        # Both changes of each endpoint reach the watch together.
+        # One answer to the watch contains both changes of each endpoint.
         for endpoint in deployment.all_endpoints():
             deployment.store.delete("servers", endpoint.endpoint_id)
         for endpoint in deployment.all_endpoints():
@@ -77,9 +81,10 @@
 def test_a_request_that_waits_for_a_connection_does_not_follow_an_endpoint_that_left():
     """Symptom: a request reached an endpoint long after it was listed as draining.
 
-    Sequence: all connections that this process may hold to the endpoint are in use, so
-    the request waits for one; the endpoint says that it leaves; a connection is given
-    back. Cause: what was chosen before the wait was not looked at after it.
+    Sequence: all connections that this process may open to the endpoint are in use, so
+    the request waits for one; the endpoint is listed as draining; a connection becomes
+    free. Cause: the endpoint that was chosen before the wait was not checked again
+    after it.
     """
 
     async def scenario(deployment):
@@ -126,7 +131,7 @@
 def test_watches_that_hear_nothing_do_not_hold_up_a_configuration():
     async def scenario(deployment):
         entry = deployment.entries_[0]
-        # The watch that waits now is never answered; those after it are.
+        # The store answers no watch while this is set.
         deployment.store.has_deaf_watches = True
         await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
         deployment.store.has_deaf_watches = False
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_streams.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams reach the caller whole, once and in order, or are cut visibly."""
+"""Deliver streams complete, once and in order, or end them visibly incomplete."""
 
 from leadford_standins.wire import Misbehaviour, event_ids, play, runs_of
 
@@ -10,7 +10,7 @@
         used.next_.append(Misbehaviour.CUT)
         answer = await deployment.send("/resumed/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
-        # The head stays that of the engine that began.
+        # The head of the answer stays that of the first engine.
         assert answer.headers["X-Server-Stamp"] == f"stamp.{used.endpoint_id}"
         assert [run.headers.get("Last-Event-Id") for run in other.runs_] == ["2"]
         assert other.runs_[0].headers["X-Expect-Version"] == "1"
@@ -79,7 +79,7 @@
         used = [parts for parts in kept if parts.read_tokens_ > 0]
         assert len(used) <= 2
         assert sum(parts.read_again_tokens_ for parts in kept) == 0
-        # The template once at each engine, each session at one, and the own parts.
+        # The template once at each engine, each session once, each request's own part.
         assert sum(parts.read_tokens_ for parts in kept) <= 2 * 2_000 + 3_200 + 4_800
 
     play(scenario, entries=2, endpoints=6)
@@ -88,7 +88,7 @@
 def test_a_silent_stream_is_waited_for_where_no_other_engine_is_left():
     async def scenario(deployment):
         (engine,) = deployment.engines
-        # Longer than the silence after which a stream goes on elsewhere.
+        # Longer than the silence after which a stream resumes at another engine.
         engine.pause_s = 1.2
         engine.events = 2
         answer = await deployment.send("/resumed/x", request_id="r1", deadline_ms=4_000)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_suspended_hosts.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_suspended_hosts.py
@@ -1,7 +1,7 @@
-"""An entry whose host was suspended does not take what it knew for fresh.
+"""Treat what an entry knows as outdated after its host was suspended.
 
-The host sleeps between two turns of the loop: the time since boot jumps, and timers,
-which rest on the steady clock, do not notice.
+The host is suspended between two iterations of the event loop: the time since boot
+jumps, but timers use the steady clock, which does not advance.
 """
 
 import asyncio
@@ -10,21 +10,21 @@
 from leadford_server.clock import BootClockLoop
 from leadford_standins.wire import Deployment, Misbehaviour
 
-SLEPT_S = 10.0
+SUSPENSION_S = 10.0
 
 
-class SleepyClock:
-    """Tell the time since boot of a host that a test suspends."""
+class SuspendableClock:
+    """Return the time since boot of a host that a test suspends."""
 
     def __init__(self):
-        self.slept_s = 0.0
+        self.suspended_s = 0.0
 
     def __call__(self):
-        return time.monotonic() + self.slept_s
+        return time.monotonic() + self.suspended_s
 
 
-def play_asleep(scenario, **fields):
-    clock = SleepyClock()
+def play_with_clock(scenario, **fields):
+    clock = SuspendableClock()
 
     async def main():
         async with Deployment(**fields) as deployment:
@@ -44,13 +44,13 @@
             deployment.send("/unsafe/x", request_id="r", deadline_ms=9_000)
         )
         await asyncio.sleep(0.4)
-        clock.slept_s += SLEPT_S
+        clock.suspended_s += SUSPENSION_S
         began_at = time.monotonic()
         answer = await sending
         assert answer.code == 504
         assert time.monotonic() - began_at < 1.5
 
-    play_asleep(scenario)
+    play_with_clock(scenario)
 
 
 def test_what_was_known_before_a_suspension_is_asked_again_at_once():
@@ -58,20 +58,20 @@
         entry = deployment.entries_[0]
         calls = deployment.store.calls_
         await asyncio.sleep(0.5)
-        clock.slept_s += SLEPT_S
+        clock.suspended_s += SUSPENSION_S
         before = calls
         await deployment.until(lambda: deployment.store.calls_ > before, 1.0)
         assert entry.is_ready
         leaving = deployment.plain[0]
         deployment.store.put("servers", leaving.endpoint_id, leaving.spec("draining"))
         await asyncio.sleep(0.5)
-        ran = len(leaving.runs_)
+        run_count = len(leaving.runs_)
         for number in range(10):
             answer = await deployment.send("/safe/x", request_id=f"r{number}")
             assert answer.code == 200
-        assert len(leaving.runs_) == ran
+        assert len(leaving.runs_) == run_count
 
-    play_asleep(scenario)
+    play_with_clock(scenario)
 
 
 def test_a_connection_that_rested_through_a_suspension_is_not_used():
@@ -79,8 +79,8 @@
         for number in range(6):
             await deployment.send("/safe/x", request_id=f"r{number}")
         pool = deployment.entries_[0].state_.pool_
-        clock.slept_s += 60.0
+        clock.suspended_s += 60.0
         pool.close_idle(deployment.entries_[0].state_.roster_.known_ids())
         assert not any(found.idle_ for found in pool.connections_by_id_.values())
 
-    play_asleep(scenario)
+    play_with_clock(scenario)
