--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
@@ -18,8 +18,8 @@
 ENGINE = ServiceId("engine")
 PROMPT = PromptShape((), 100)
 ENDS = ("placed", "no answer", "not usable")
-# Time for which no entry runs: longer than the timeout after which a silent peer
-# counts as lost.
+# Time for which no entry runs: longer than an entry counts as alive after its last
+# message.
 PAUSE_S = 1.2
 
 
