--- a/packages/leadford-standins/src/leadford_standins/soak/faults/__init__.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/__init__.py
@@ -1,9 +1,9 @@
-"""Draw the faults and changes of a soak from its seed, and carry them out.
+"""Draw the faults and changes of a soak from its seed, and inject them.
 
-Each kind has an injector that a decorator puts in the registry.
+Each kind has one injector, which a decorator registers.
 """
 
-from leadford_standins.soak.faults import (  # noqa: F401  (they fill the registry)
+from leadford_standins.soak.faults import (  # noqa: F401  (register their injectors)
     _links,
     _platform,
     _processes,
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_base.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_base.py
@@ -1,6 +1,6 @@
-"""Keep the registry of injectors: how each kind of fault is carried out.
+"""Keep the registry of injectors: one function for each kind of fault.
 
-`_inject_links`, `_inject_processes`, `_inject_platform` fill it by decorators.
+`_links`, `_processes`, `_platform` and `_upgrades` register theirs by decorator.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 def injects(*kinds: FaultKind) -> Callable[[Injector], Injector]:
-    """Register an injector for kinds of fault."""
+    """Return a decorator that registers an injector for kinds of fault."""
 
     def register(injector: Injector) -> Injector:
         for kind in kinds:
@@ -27,12 +27,12 @@
 
 
 async def inject(scene: SoakScene, faults: tuple[Fault, ...]) -> None:
-    """Carry out a plan; faults overlap, so each runs as a task of its own."""
+    """Inject the faults of a plan, each in its own task, since they overlap."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     running: list[asyncio.Task[None]] = []
     for fault in faults:
-        await asyncio.sleep(max(0.0, began + fault.at_s - loop.time()))
+        await asyncio.sleep(max(0.0, started_at + fault.at_s - loop.time()))
         running.append(asyncio.create_task(_carry_out(scene, fault)))
     await asyncio.gather(*running)
 
@@ -43,5 +43,5 @@
     try:
         await injectors_by_kind[fault.kind](scene, fault)
     except Exception:
-        # A broken injector must not end the run, nor pass unseen.
+        # An injector that fails must not end the run, but the report lists its error.
         scene.ledger.errors_.append(f"{fault.kind.value}: {traceback.format_exc()}")
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_links.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_links.py
@@ -1,7 +1,7 @@
-"""Harm the links between entries, the store, peers and endpoints.
+"""Impair the links from entries to the store, to peers and to endpoints.
 
-Each kind of fault sets the state of links in the loopback proxy, and sets it back when
-the fault is over. Which links are struck was drawn with the plan.
+Each kind of fault sets the state of a link in the loopback proxy, and resets it when
+the fault ends. The target of the fault, drawn with the plan, selects the link.
 """
 
 import asyncio
@@ -39,56 +39,58 @@
     K.ENDPOINT_LINK_RESET,
     K.ENDPOINT_LINK_SILENT,
 )
-RESETS = (K.STORE_LINK_RESET, K.PEER_LINK_RESET, K.ENDPOINT_LINK_RESET)
-DELAYS = (K.STORE_LINK_DELAYED, K.PEER_LINK_DELAYED, K.ENDPOINT_LINK_DELAYED)
+RESET_KINDS = (K.STORE_LINK_RESET, K.PEER_LINK_RESET, K.ENDPOINT_LINK_RESET)
+DELAY_KINDS = (K.STORE_LINK_DELAYED, K.PEER_LINK_DELAYED, K.ENDPOINT_LINK_DELAYED)
 
 
 @injects(*STORE_KINDS)
-async def harm_store_link(scene: SoakScene, fault: Fault) -> None:
-    """Harm the link of one entry to the store."""
+async def impair_store_link(scene: SoakScene, fault: Fault) -> None:
+    """Impair the link of one entry to the store."""
     name = scene.entry(fault.target).name
-    await _harm(scene, fault, name, scene.store_links_.link(name))
+    await _impair_link(scene, fault, name, scene.store_links_.link(name))
 
 
 @injects(*PEER_KINDS)
-async def harm_peer_link(scene: SoakScene, fault: Fault) -> None:
-    """Harm the links that other entries hold to one."""
+async def impair_peer_link(scene: SoakScene, fault: Fault) -> None:
+    """Impair the links from the other entries to one entry."""
     name = scene.entry(fault.target).name
     for other in scene.entries_:
-        # A harmed link has two ends, and news passes over either.
+        # News passes both ways on a link, so the fault affects both of its ends.
         now = asyncio.get_running_loop().time()
         scene.ledger.disturb(other.name, fault.kind, now, now + fault.duration_s)
-    await _harm(scene, fault, name, scene.peer_links_[name])
+    await _impair_link(scene, fault, name, scene.peer_links_[name])
 
 
 @injects(*ENDPOINT_KINDS)
-async def harm_endpoint_link(scene: SoakScene, fault: Fault) -> None:
-    """Harm the links of all entries to one endpoint."""
+async def impair_endpoint_link(scene: SoakScene, fault: Fault) -> None:
+    """Impair the links of all entries to one endpoint."""
     live = scene.endpoints_.live_
     if not live:
         return
     running = live[fault.target % len(live)]
-    await _harm(scene, fault, running.endpoint.endpoint_id, running.link_)
+    await _impair_link(scene, fault, running.endpoint.endpoint_id, running.link_)
 
 
-async def _harm(scene: SoakScene, fault: Fault, scope: str, link: LinkState) -> None:
+async def _impair_link(
+    scene: SoakScene, fault: Fault, scope: str, link: LinkState
+) -> None:
     now = asyncio.get_running_loop().time()
-    noted = scene.ledger.disturb(scope, fault.kind, now, now + fault.duration_s)
-    if fault.kind in RESETS:
+    disturbance = scene.ledger.disturb(scope, fault.kind, now, now + fault.duration_s)
+    if fault.kind in RESET_KINDS:
         link.reset()
         return
     ways = WAYS_BY_KIND.get(fault.kind, ())
     for way in ways:
         link.holds_by_way_[way] += 1
-    if fault.kind in DELAYS:
+    if fault.kind in DELAY_KINDS:
         link.delay_s = fault.amount
     if fault.kind is K.STORE_LINK_NARROW:
         link.rate = fault.amount
     await asyncio.sleep(fault.duration_s)
     for way in ways:
         link.holds_by_way_[way] -= 1
-    if fault.kind in DELAYS:
+    if fault.kind in DELAY_KINDS:
         link.delay_s = 0.0
     if fault.kind is K.STORE_LINK_NARROW:
         link.rate = None
-    noted.until_s = asyncio.get_running_loop().time()
+    disturbance.until_s = asyncio.get_running_loop().time()
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_plan.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_plan.py
@@ -1,8 +1,8 @@
 """Draw the plan of a soak from its seed.
 
-Faults come alone, in series at successive targets, and overlapping; changes of the
-configuration come beside them. Owns the table of how long and how hard each kind is;
-relies on the random source that it is given.
+Faults are single, in series at successive targets, and overlapping; configuration
+changes are drawn independently of them. Owns the tables of the weight, duration and
+amount of each kind; all randomness comes from the random source that is passed in.
 """
 
 from random import Random
@@ -12,21 +12,23 @@
 from leadford_standins.soak._base import Fault, FaultKind, SoakOptions, SoakPlan
 from leadford_standins.soak.faults._upgrades import upgrade_steps
 
-# Parts of the faults that begin a series, and how many follow in it; choices.
-SERIES_PART = 0.25
-SERIES_MORE = (1, 3)
-# Seconds between the faults of a series; choices.
+# Fraction of the faults that begin a series, and the least and greatest number of
+# faults that follow in it.
+SERIES_FRACTION = 0.25
+SERIES_FOLLOWING_COUNTS = (1, 3)
+# Least and greatest time between two faults of a series.
 SERIES_GAP_S = (0.1, 2.5)
-# Seconds at the start and at the end of a run in which nothing is begun: entries learn
-# their peers, and stops that began can end within the grace period.
+# No fault begins at the start of a run, while entries learn their peers, nor at its
+# end, so that stops under way can end within the grace period.
 QUIET_START_S = 3.0
 QUIET_END_S = 2.0
 
 
 class Span(msgspec.Struct, frozen=True):
-    """Say how often a kind is drawn, for how long and how hard.
+    """Hold the weight of a kind in the draw, and the ranges of duration and amount.
 
-    Units: seconds; the amount is that of the kind (seconds, bytes a second, requests).
+    Units: seconds; the unit of the amount depends on the kind (seconds, bytes per
+    second, requests).
     """
 
     weight: float
@@ -35,7 +37,7 @@
 
 
 K = FaultKind
-# Choices of the soak: what the users ask for most comes most.
+# What the users ask for most has the greatest weight.
 FAULT_SPANS: dict[FaultKind, Span] = {
     K.STORE_LINK_DELAYED: Span(2, (1, 6), (0.02, 0.8)),
     K.STORE_LINK_RESET: Span(2),
@@ -74,33 +76,33 @@
     K.KEY_REVOKED: Span(1),
     K.MANY_ROUTES: Span(0.5, (0, 0), (100, 1_400)),
 }
-# The amount is the time between two copies of such a request.
+# The amount is the time between two copies of the request.
 ENDING_SPANS: dict[FaultKind, Span] = {
     K.REQUEST_ENDS_ENDPOINTS: Span(1, (9, 15), (0.15, 0.6)),
 }
-# The amount is how old the copy is; the store is away for the duration.
+# The amount is the age of the copy; the store is unavailable for the duration.
 RESTORE_SPANS: dict[FaultKind, Span] = {
     K.STORE_RESTORED: Span(1, (0.1, 3), (0.5, 6)),
 }
-# A target is drawn below this, and taken modulo what there is.
-TARGETS = 10_000
+# Targets are drawn below this; injectors take them modulo the number of candidates.
+TARGET_LIMIT = 10_000
 
 
 def draw_plan(options: SoakOptions, random: Random) -> SoakPlan:
-    """Return the faults and changes of a run; the same for the same random source."""
+    """Return the faults and changes of a run, which the random source determines."""
     faults = [
-        *_draw(FAULT_SPANS, options.faults_per_s, options, random),
-        *_draw(CHANGE_SPANS, options.changes_per_s, options, random),
-        # Last, so that the seeds of runs without these mean what they did.
-        *_draw(ENDING_SPANS, options.ending_per_s, options, random),
-        *_draw(RESTORE_SPANS, options.restores_per_s, options, random),
+        *_draw_faults(FAULT_SPANS, options.faults_per_s, options, random),
+        *_draw_faults(CHANGE_SPANS, options.changes_per_s, options, random),
+        # Drawn last, so that a seed gives the same plan in runs without these.
+        *_draw_faults(ENDING_SPANS, options.ending_per_s, options, random),
+        *_draw_faults(RESTORE_SPANS, options.restores_per_s, options, random),
         *upgrade_steps(options),
     ]
     faults.sort(key=lambda fault: fault.at_s)
     return SoakPlan(options, tuple(faults))
 
 
-def _draw(
+def _draw_faults(
     spans: dict[FaultKind, Span],
     per_s: float,
     options: SoakOptions,
@@ -118,27 +120,29 @@
         if at_s >= until_s:
             return drawn
         kind = random.choices(kinds, weights)[0]
-        target = random.randrange(TARGETS)
-        drawn.append(_fault(at_s, kind, target, spans[kind], random))
-        if random.random() >= SERIES_PART:
+        target = random.randrange(TARGET_LIMIT)
+        drawn.append(_draw_fault(at_s, kind, target, spans[kind], random))
+        if random.random() >= SERIES_FRACTION:
             continue
-        drawn += _series(drawn[-1], spans[kind], until_s, random)
+        drawn += _draw_series(drawn[-1], spans[kind], until_s, random)
 
 
-def _series(first: Fault, span: Span, until_s: float, random: Random) -> list[Fault]:
-    """Return more faults of the kind, at the next targets, that overlap the first."""
-    more: list[Fault] = []
+def _draw_series(
+    first: Fault, span: Span, until_s: float, random: Random
+) -> list[Fault]:
+    """Return later faults of the kind at the next targets; they may overlap."""
+    following: list[Fault] = []
     at_s = first.at_s
-    for number in range(random.randint(*SERIES_MORE)):
+    for number in range(random.randint(*SERIES_FOLLOWING_COUNTS)):
         at_s += random.uniform(*SERIES_GAP_S)
         if at_s >= until_s:
             break
         target = first.target + number + 1
-        more.append(_fault(at_s, first.kind, target, span, random))
-    return more
+        following.append(_draw_fault(at_s, first.kind, target, span, random))
+    return following
 
 
-def _fault(
+def _draw_fault(
     at_s: float, kind: FaultKind, target: int, span: Span, random: Random
 ) -> Fault:
     duration_s = random.uniform(*span.duration_s)
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/tests/test_plan.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a soak follows from its seed, and every kind can be carried out."""
+"""The seed of a soak determines its plan, and every kind of fault has an injector."""
 
 from random import Random
 
