--- a/packages/leadford-standins/src/leadford_standins/soak/checks/__init__.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/__init__.py
@@ -1,10 +1,10 @@
-"""Check the promises of the pages on what callers, the store and endpoints saw.
+"""Check documented guarantees against what callers, the store and endpoints saw.
 
-Each check is a class that a decorator puts in the registry; all read the ledger after a
-run and nothing else.
+Each check is a class that a decorator registers. Checks run after the soak and read its
+evidence alone: the ledger, the versions of the configuration, and the bounds.
 """
 
-from leadford_standins.soak.checks import (  # noqa: F401  (they fill the registry)
+from leadford_standins.soak.checks import (  # noqa: F401  (register their checks)
     _answers,
     _bounds,
     _config,
--- a/packages/leadford-standins/src/leadford_standins/soak/checks/_answers.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/_answers.py
@@ -1,76 +1,86 @@
-"""Check what callers were answered: whole, their own, in order, and true.
+"""Check that answers are complete, in order, and belong to their requests.
 
-Judges by what callers and endpoints saw, without regard to when. Relies on the names of
-requests, which tell a run which one it belongs to.
+Compares what callers and endpoints saw, without regard to time. Relies on request ids
+to match a run at an endpoint with the request of a caller.
 """
 
 import re
 
 from leadford_standins.soak._ledger import Outcome, Ran, Sent
-from leadford_standins.soak.checks._base import Broken, Evidence, broken, promises
-
-UNREPEATABLE = ("unsafe", "once", "moved", "added", "gone", "never")
-STREAMS = ("resumed", "once")
+from leadford_standins.soak.checks._base import (
+    Broken,
+    Evidence,
+    broken_promise,
+    promises,
+)
+
+UNREPEATABLE_ROUTES = ("unsafe", "once", "moved", "added", "gone", "never")
+STREAM_ROUTES = ("resumed", "once")
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-# Events of each stream, as the engines of the stand-ins make them.
-EVENTS = 5
-STAMP = "X-Server-Stamp"
+# Number of events in each stream of an engine stand-in.
+EVENTS_PER_STREAM = 5
+SIGNATURE_HEADER = "X-Server-Stamp"
 STAMPED_STATUSES = (200, 500)
-_EVENT = re.compile(rb"id: (\d+)\ndata: token (\d+) of (\S+)\n\n")
+_EVENT_PATTERN = re.compile(rb"id: (\d+)\ndata: token (\d+) of (\S+)\n\n")
 
 
 @promises("runs at most once")
 class AtMostOnce:
-    """A request that may not be repeated runs at one endpoint, once."""
+    """A request that may not be repeated runs once, at one endpoint."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every request that ran twice."""
+        """Return every unrepeatable request that ran more than once."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
             runs = evidence.ledger.runs_of(sent.request_id)
-            if sent.route in UNREPEATABLE and len(runs) > 1:
-                found.append(broken(self, sent, _places(runs)))
+            if sent.route in UNREPEATABLE_ROUTES and len(runs) > 1:
+                found.append(broken_promise(self, sent, _describe_runs(runs)))
         return found
 
 
 @promises("refused means not run")
-class NotRun:
-    """A request that was told 408, 421, 429 or 503 never runs."""
+class RefusedNotRun:
+    """A request answered with 408, 421, 429 or 503 never runs."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
         """Return every unrepeatable request that was refused and ran."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
-            if sent.route not in UNREPEATABLE or sent.status not in NOT_RUN_STATUSES:
+            if (
+                sent.route not in UNREPEATABLE_ROUTES
+                or sent.status not in NOT_RUN_STATUSES
+            ):
                 continue
             runs = evidence.ledger.runs_of(sent.request_id)
             if runs:
-                found.append(broken(self, sent, f"{sent.status}; {_places(runs)}"))
+                found.append(
+                    broken_promise(self, sent, f"{sent.status}; {_describe_runs(runs)}")
+                )
         return found
 
 
-def _places(runs: list[Ran]) -> str:
+def _describe_runs(runs: list[Ran]) -> str:
     return ", ".join(f"{run.endpoint} at {run.at_s:.3f}" for run in runs)
 
 
 @promises("an answer is whole, signed and of its request")
 class WholeAnswer:
-    """A 2xx has a signature and the whole body that its endpoint gave this request."""
+    """A 2xx answer is signed and has the complete body its endpoint sent for it."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every answer that is not what an endpoint gave."""
+        """Return every answer that differs from what an endpoint sent."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
             if sent.outcome is not Outcome.WHOLE:
                 continue
-            fault = _answer_fault(sent, evidence)
-            if fault:
-                found.append(broken(self, sent, fault))
+            defect = _find_answer_defect(sent, evidence)
+            if defect:
+                found.append(broken_promise(self, sent, defect))
         return found
 
 
-def _answer_fault(sent: Sent, evidence: Evidence) -> str:
-    stamp = sent.headers.get(STAMP)
+def _find_answer_defect(sent: Sent, evidence: Evidence) -> str:
+    stamp = sent.headers.get(SIGNATURE_HEADER)
     if stamp is not None and sent.status not in STAMPED_STATUSES:
         return f"signed {sent.status}"
     if not 200 <= sent.status < 300:
@@ -83,47 +93,47 @@
     runs = evidence.ledger.runs_of(sent.request_id)
     if endpoint not in [run.endpoint for run in runs]:
         return f"signed by {endpoint}, which did not run it"
-    if sent.route in STREAMS:
+    if sent.route in STREAM_ROUTES:
         return ""
     path = sent.path.partition("?")[0]
-    wanted = f"{endpoint} {path} ".encode() + sent.body
-    return "" if sent.answer == wanted else f"body {sent.answer[:80]!r}"
+    expected = f"{endpoint} {path} ".encode() + sent.body
+    return "" if sent.answer == expected else f"body {sent.answer[:80]!r}"
 
 
 @promises("a stream is in order and whole")
 class StreamOrder:
-    """No event is missing, doubled or of another request; a whole stream has all."""
+    """No event is missing, doubled or foreign; a complete stream has all events."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every stream with a gap, a double or a stranger's event."""
+        """Return every stream with a missing, doubled or foreign event."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
-            if sent.route not in STREAMS or sent.status != 200:
+            if sent.route not in STREAM_ROUTES or sent.status != 200:
                 continue
-            fault = _stream_fault(sent)
-            if fault:
-                found.append(broken(self, sent, fault))
+            defect = _find_stream_defect(sent)
+            if defect:
+                found.append(broken_promise(self, sent, defect))
         return found
 
 
-def _stream_fault(sent: Sent) -> str:
-    events = _EVENT.findall(sent.answer)
-    rest = _EVENT.sub(b"", sent.answer)
+def _find_stream_defect(sent: Sent) -> str:
+    events = _EVENT_PATTERN.findall(sent.answer)
+    rest = _EVENT_PATTERN.sub(b"", sent.answer)
     numbers = [int(number) for number, _, _ in events]
-    if any(int(said) != int(number) for number, said, _ in events):
+    if any(int(token_number) != int(number) for number, token_number, _ in events):
         return "an event holds the text of another"
     if any(owner != sent.request_id.encode() for _, _, owner in events):
         return "an event of another request"
     if numbers != list(range(1, len(numbers) + 1)):
         return f"events {numbers}"
-    if sent.outcome is Outcome.WHOLE and (rest or len(numbers) != EVENTS):
+    if sent.outcome is Outcome.WHOLE and (rest or len(numbers) != EVENTS_PER_STREAM):
         return f"ends as complete after {numbers} and {rest[:40]!r}"
     return ""
 
 
 @promises("requests reach endpoints unaltered")
 class Unaltered:
-    """What runs was asked for: method, path, body, workspace and headers agree."""
+    """A run has the method, path, body, workspace and headers of its request."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
         """Return every run that differs from its request."""
@@ -135,9 +145,11 @@
                     Broken(self.promise, run.request_id, endpoint, run.at_s, "unknown")
                 )
                 continue
-            fault = _run_fault(sent, run.method, run.target, run.headers, run.body)
-            if fault:
-                found.append(broken(self, sent, f"{fault} at {endpoint}"))
+            defect = _find_run_difference(
+                sent, run.method, run.target, run.headers, run.body
+            )
+            if defect:
+                found.append(broken_promise(self, sent, f"{defect} at {endpoint}"))
         for endpoint, item in evidence.ledger.items_:
             sent = evidence.ledger.sent_by_id_.get(item["id"])
             key = item.get("privateKey")
@@ -146,7 +158,7 @@
         return found
 
 
-def _run_fault(
+def _find_run_difference(
     sent: Sent, method: str, target: str, headers: dict[str, str], body: bytes
 ) -> str:
     if (method, target, body) != (sent.method, sent.path, sent.body):
--- a/packages/leadford-standins/src/leadford_standins/soak/checks/_base.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/_base.py
@@ -1,7 +1,7 @@
-"""Keep the registry of checks, and what each finds.
+"""Define checks, their registry, and the findings they return.
 
-A check reads the ledger after a run. One whose `is_timed` is set holds to a bound on
-the wall clock: it counts entries only that no fault touched for the contact time.
+A check reads the evidence after a run. A check with `is_timed` enforces a bound on wall
+clock time; most of them judge only entries that no fault affected for the contact time.
 """
 
 from typing import Protocol
@@ -14,7 +14,7 @@
 
 
 class Broken(msgspec.Struct, frozen=True):
-    """Hold one promise that was broken: which, by whom, when, and what was seen."""
+    """Hold one broken promise: which, at what entry, when, and what was seen."""
 
     promise: str
     request_id: str
@@ -24,14 +24,14 @@
 
 
 class Evidence(msgspec.Struct, frozen=True):
-    """Hold all that checks may read."""
+    """Hold all that the checks may read."""
 
     ledger: Ledger
     versions: list[ConfigSeen]
     bounds: SoakBounds
 
     def in_touch(self, sent: Sent, until_s: float) -> bool:
-        """Tell whether no fault touched the entry or the store, nor the soak itself."""
+        """Tell whether no fault affected the entry, the store or the soak itself."""
         scopes = (sent.entry, STORE)
         return self.ledger.is_calm(
             scopes, sent.sent_at - self.bounds.contact_s, until_s
@@ -45,31 +45,31 @@
     is_timed: bool
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every place where the promise was broken."""
+        """Return every case in which the promise was broken."""
 
 
 checks: list[Check] = []
 
 
 def promises(name: str, *, timed: bool = False):
-    """Register a check for a promise."""
+    """Return a decorator that registers a check for a promise."""
 
-    def register(made: type) -> type:
-        made.promise = name
-        made.is_timed = timed
-        checks.append(made())
-        return made
+    def register(check_class: type) -> type:
+        check_class.promise = name
+        check_class.is_timed = timed
+        checks.append(check_class())
+        return check_class
 
     return register
 
 
-def broken(check: Check, sent: Sent, detail: str) -> Broken:
-    """Return a broken promise at a request."""
+def broken_promise(check: Check, sent: Sent, detail: str) -> Broken:
+    """Return the finding that a request breaks the promise of a check."""
     return Broken(check.promise, sent.request_id, sent.entry, sent.sent_at, detail)
 
 
 def run_checks(evidence: Evidence, *, timed: bool) -> list[Broken]:
-    """Return all broken promises; `timed` says whether those on the clock count."""
+    """Return all broken promises; `timed` says whether timed checks run."""
     found: list[Broken] = []
     for check in checks:
         if check.is_timed and not timed:
--- a/packages/leadford-standins/src/leadford_standins/soak/checks/_bounds.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/_bounds.py
@@ -1,7 +1,7 @@
-"""Check bounds on time and on repeats, and that processes end as told.
+"""Check bounds on time and on retries, and that processes exit only when stopped.
 
-Most hold only where the machine keeps up, so they are left out of untimed runs. Each
-bound has some slack, which covers the delays of the soak itself.
+Most bounds hold only on a machine that keeps up, so untimed runs skip them. Each bound
+has some slack for the delays of the soak itself.
 """
 
 import signal
@@ -9,19 +9,24 @@
 
 from leadford_standins.soak._base import STORE
 from leadford_standins.soak._ledger import Incarnation, Outcome, Ran, Sent
-from leadford_standins.soak.checks._base import Broken, Evidence, broken, promises
-
-# Seconds past a bound from which it counts as broken: half a second is the users', the
-# rest lets the soak's own loop be late without an accusation.
-LATE_S = 0.8
-ARRIVES_LATE_S = 0.25
-# Seconds for which a caller that left may not be noticed.
-LEFT_S = 0.8
-# Seconds by which the time handed to an endpoint may exceed what is left.
+from leadford_standins.soak.checks._base import (
+    Broken,
+    Evidence,
+    broken_promise,
+    promises,
+)
+
+# A bound is broken when it is exceeded by more than this: the users allow half a
+# second, and the rest covers delays of the soak's own event loop.
+LATE_TOLERANCE_S = 0.8
+ARRIVAL_TOLERANCE_S = 0.25
+# Time within which an entry must notice that a caller left.
+CALLER_LEFT_TOLERANCE_S = 0.8
+# The deadline passed to an endpoint may exceed the remaining time by this.
 DEADLINE_SLACK_S = 0.6
 
 
-def _served(process: Incarnation, evidence: Evidence) -> bool:
+def _has_answered(process: Incarnation, evidence: Evidence) -> bool:
     return any(
         sent.status != 0
         and (sent.entry, sent.incarnation) == (process.entry, process.number)
@@ -30,11 +35,11 @@
 
 
 @promises("a process ends only when it is told to")
-class EndsWhenTold:
+class ExitsOnlyWhenStopped:
     """No process ends by itself, and a planned stop ends with status 0.
 
-    One that is told before it listens ends by the signal, which nobody can notice: it
-    is not counted unless a caller had an answer from it.
+    A process that receives SIGTERM before it listens is ended by the signal, which no
+    caller notices: it counts only if a caller had an answer from it.
     """
 
     def find(self, evidence: Evidence) -> list[Broken]:
@@ -45,10 +50,12 @@
                 continue
             if process.term_at is not None and process.status == 0:
                 continue
-            if process.status == -signal.SIGTERM and not _served(process, evidence):
+            if process.status == -signal.SIGTERM and not _has_answered(
+                process, evidence
+            ):
                 continue
-            told = "after SIGTERM" if process.term_at is not None else "by itself"
-            detail = f"start {process.number} ended {told} with {process.status}"
+            cause = "after SIGTERM" if process.term_at is not None else "by itself"
+            detail = f"start {process.number} ended {cause} with {process.status}"
             found.append(
                 Broken(self.promise, "", process.entry, process.ended_at, detail)
             )
@@ -57,26 +64,28 @@
 
 @promises("a request ends by its route's time", timed=True)
 class EndsInTime:
-    """At entries in touch a request has its final answer by its route's time."""
+    """At entries in touch a request ends within the timeout of its route."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every request that was held longer."""
+        """Return every request that took longer."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
             if sent.outcome is Outcome.UNSENT:
                 continue
-            held_s = sent.ended_at - sent.sent_at
-            if held_s <= sent.timeout_s + LATE_S:
+            elapsed_s = sent.ended_at - sent.sent_at
+            if elapsed_s <= sent.timeout_s + LATE_TOLERANCE_S:
                 continue
             if not evidence.in_touch(sent, sent.ended_at):
                 continue
-            found.append(broken(self, sent, f"{sent.route} held {held_s:.2f} s"))
+            found.append(
+                broken_promise(self, sent, f"{sent.route} held {elapsed_s:.2f} s")
+            )
         return found
 
 
 @promises("nothing new goes to an endpoint that leaves", timed=True)
-class NothingToLeaving:
-    """In calm, nothing arrives later than the drain bound after the store's word."""
+class NothingNewToLeavingEndpoint:
+    """In calm, nothing arrives later than the drain bound after a departure."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
         """Return every request that arrived later."""
@@ -87,11 +96,13 @@
                 continue
             late_s = arrival.at_s - left_at[arrival.endpoint] - evidence.bounds.drain_s
             sent = evidence.ledger.sent_by_id_.get(arrival.request_id)
-            if late_s <= ARRIVES_LATE_S or sent is None:
+            if late_s <= ARRIVAL_TOLERANCE_S or sent is None:
                 continue
             if not self._was_calm(sent, arrival, evidence):
                 continue
-            found.append(broken(self, sent, f"{arrival.endpoint}, {late_s:.2f} s late"))
+            found.append(
+                broken_promise(self, sent, f"{arrival.endpoint}, {late_s:.2f} s late")
+            )
         return found
 
     def _was_calm(self, sent: Sent, arrival: Ran, evidence: Evidence) -> bool:
@@ -102,14 +113,14 @@
 
 @promises("repeats stay within their budget")
 class RetryBudget:
-    """In each window a service gets no more repeats than its share and the slack.
+    """In each window a service gets no more retries than the ratio and slack allow.
 
-    Each entry keeps its part in memory, so what processes that were started again had
-    spent is allowed once more for each start.
+    Each entry keeps its part of the budget in memory, so each restart of a process
+    allows the budget once more.
     """
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every window with too many repeats, once for each service."""
+        """Return the first window with too many retries of each service."""
         firsts: dict[str, list[float]] = defaultdict(list)
         repeats: dict[str, list[float]] = defaultdict(list)
         seen: set[str] = set()
@@ -119,51 +130,57 @@
             (firsts if is_first else repeats)[arrival.service].append(arrival.at_s)
         found: list[Broken] = []
         for service, times in repeats.items():
-            found += self._find_at(service, times, firsts[service], evidence)
+            found += self._find_for_service(service, times, firsts[service], evidence)
         return found
 
-    def _find_at(
+    def _find_for_service(
         self, service: str, times: list[float], firsts: list[float], evidence: Evidence
     ) -> list[Broken]:
         bounds = evidence.bounds
         for begin in times:
             end = begin + bounds.retry_window_s
-            count = sum(begin <= at < end for at in times)
-            asked = max(
-                sum(begin - back <= at < end - back for at in firsts)
-                for back in (0.0, bounds.retry_window_s / 2, bounds.retry_window_s)
+            retry_count = sum(begin <= at < end for at in times)
+            request_count = max(
+                sum(begin - shift_s <= at < end - shift_s for at in firsts)
+                for shift_s in (0.0, bounds.retry_window_s / 2, bounds.retry_window_s)
             )
             starts = sum(
                 begin - bounds.retry_window_s <= process.started_at < end
                 and process.number > 1
                 for process in evidence.ledger.incarnations_
             )
-            allowed = (bounds.retry_ratio * asked + bounds.retry_slack) * (1 + starts)
-            if count > allowed:
-                detail = f"{count} repeats, {allowed:.0f} allowed, from {begin:.2f}"
+            allowed = (bounds.retry_ratio * request_count + bounds.retry_slack) * (
+                1 + starts
+            )
+            if retry_count > allowed:
+                detail = (
+                    f"{retry_count} repeats, {allowed:.0f} allowed, from {begin:.2f}"
+                )
                 return [Broken(self.promise, "", service, begin, detail)]
         return []
 
 
 @promises("a request goes to no more endpoints than its route allows")
 class AttemptsMax:
-    """A request arrives at no more endpoints than the attempts of its route."""
+    """A request runs at no more endpoints than its route has attempts."""
 
-    ALLOWED = {"safe": 2, "resumed": 2}
+    MAX_ENDPOINTS_BY_ROUTE = {"safe": 2, "resumed": 2}
 
     def find(self, evidence: Evidence) -> list[Broken]:
         """Return every request that ran at more endpoints."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
-            places = {r.endpoint for r in evidence.ledger.runs_of(sent.request_id)}
-            if len(places) > self.ALLOWED.get(sent.route, 1):
-                found.append(broken(self, sent, f"{sent.route}: {sorted(places)}"))
+            endpoints = {r.endpoint for r in evidence.ledger.runs_of(sent.request_id)}
+            if len(endpoints) > self.MAX_ENDPOINTS_BY_ROUTE.get(sent.route, 1):
+                found.append(
+                    broken_promise(self, sent, f"{sent.route}: {sorted(endpoints)}")
+                )
         return found
 
 
 @promises("what a caller left is not begun", timed=True)
-class NotAfterLeaving:
-    """At entries in touch nothing arrives at an endpoint long after its caller left."""
+class NotBegunAfterCallerLeft:
+    """At entries in touch no request arrives long after its caller left."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
         """Return every request that arrived after its caller had left."""
@@ -173,22 +190,26 @@
             if sent is None or sent.outcome is not Outcome.LEFT:
                 continue
             late_s = arrival.at_s - sent.ended_at
-            if late_s <= LEFT_S or not evidence.in_touch(sent, arrival.at_s):
+            if late_s <= CALLER_LEFT_TOLERANCE_S or not evidence.in_touch(
+                sent, arrival.at_s
+            ):
                 continue
             if not evidence.ledger.is_calm(
                 (arrival.endpoint,), sent.sent_at, arrival.at_s
             ):
                 continue
-            found.append(broken(self, sent, f"{arrival.endpoint}, {late_s:.2f} s late"))
+            found.append(
+                broken_promise(self, sent, f"{arrival.endpoint}, {late_s:.2f} s late")
+            )
         return found
 
 
 @promises("an endpoint is given no more time than is left", timed=True)
-class TimeHandedOn:
-    """At entries in touch the deadline that is passed on is that of the caller."""
+class DeadlinePassedOn:
+    """At entries in touch the deadline passed on is that of the caller."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every run that was given more time."""
+        """Return every run that was given more time than is left."""
         found: list[Broken] = []
         for endpoint, run in evidence.ledger.run_records_:
             sent = evidence.ledger.sent_by_id_.get(run.request_id)
@@ -198,7 +219,9 @@
                 continue
             given_s = float(run.headers.get("X-Deadline-Ms", "inf")) / 1_000.0
             asked_s = float(sent.asked["X-Deadline-Ms"]) / 1_000.0
-            more_s = run.at_s + given_s - sent.sent_at - asked_s
-            if more_s > DEADLINE_SLACK_S:
-                found.append(broken(self, sent, f"{more_s:.2f} s more at {endpoint}"))
+            excess_s = run.at_s + given_s - sent.sent_at - asked_s
+            if excess_s > DEADLINE_SLACK_S:
+                found.append(
+                    broken_promise(self, sent, f"{excess_s:.2f} s more at {endpoint}")
+                )
         return found
--- a/packages/leadford-standins/src/leadford_standins/soak/checks/_cuts.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/_cuts.py
@@ -1,46 +1,52 @@
-"""Check that neither planned work nor calm cuts a request.
+"""Check that requests are cut neither in planned stops nor in calm.
 
-A request that was cut counts unless a fault near it, the end of its time, or the end of
-the grace period explains that. Faults of links that callers do not notice explain none.
+A cut request counts unless a fault that affects it, the end of its time limit, or the
+end of the grace period explains the cut. In a planned stop, faults of links to the
+store and to peers explain none, since callers do not notice them.
 """
 
 from leadford_standins.soak._base import STORE
 from leadford_standins.soak._ledger import Incarnation, Ledger, Outcome, Sent
-from leadford_standins.soak.checks._base import Broken, Evidence, broken, promises
-
-# Part of the grace period, its last, in which a run may be cut that was asked for
-# early, and how early that is in seconds.
-GRACE_PART = 1.0 / 6.0
-ASKED_EARLY_S = 3.0
-# Seconds after which a request that was cut counts as read, though it ran nowhere.
-READ_S = 0.4
-# Part of its time after which a request that is cut counts as out of time.
-USED_UP = 0.95
-# Faults of these links are nothing that callers or endpoints notice.
-INNER_LINKS = ("store-link", "peer-link")
-
-
-def time_of(sent: Sent) -> float:
-    """Return the seconds that a request has."""
+from leadford_standins.soak.checks._base import (
+    Broken,
+    Evidence,
+    broken_promise,
+    promises,
+)
+
+# A run may be cut in this last fraction of the grace period if its request was sent no
+# later than this time after SIGTERM.
+GRACE_END_FRACTION = 1.0 / 6.0
+EARLY_REQUEST_S = 3.0
+# A request that is cut after this time counts as read, even if it ran nowhere.
+READ_DELAY_S = 0.4
+# A request cut after this fraction of its time limit counts as out of time.
+TIME_USED_FRACTION = 0.95
+# Prefixes of the fault kinds that callers and endpoints do not notice.
+INTERNAL_LINK_PREFIXES = ("store-link", "peer-link")
+
+
+def time_limit_s(sent: Sent) -> float:
+    """Return the time limit of a request in seconds."""
     deadline_s = float(sent.asked["X-Deadline-Ms"]) / 1_000.0
     return min(sent.timeout_s, deadline_s)
 
 
-def was_taken(sent: Sent, ledger: Ledger) -> bool:
-    """Tell whether a request that was cut had been passed on, or surely read."""
+def was_passed_on(sent: Sent, ledger: Ledger) -> bool:
+    """Tell whether a cut request had been passed on, or must have been read."""
     if sent.outcome is not Outcome.CUT:
         return False
-    held_s = sent.ended_at - sent.sent_at
-    if held_s >= USED_UP * time_of(sent):
+    elapsed_s = sent.ended_at - sent.sent_at
+    if elapsed_s >= TIME_USED_FRACTION * time_limit_s(sent):
         return False
-    return bool(ledger.runs_of(sent.request_id)) or held_s > READ_S
+    return bool(ledger.runs_of(sent.request_id)) or elapsed_s > READ_DELAY_S
 
 
-def is_sound(sent: Sent, evidence: Evidence, *, inner_links: bool) -> bool:
-    """Tell whether nothing unplanned touched the entry or who worked for the request.
+def is_undisturbed(sent: Sent, evidence: Evidence, *, internal_links: bool) -> bool:
+    """Tell whether no unplanned fault affected the entry or endpoints of a request.
 
-    `inner_links` says whether links to the store and to peers count. Work on stages is
-    spread over all entries and all endpoints of stages, so all of them count.
+    `internal_links` says whether faults of links to the store and to peers count.
+    Stages run at any entry and endpoint, so all count for a request without a run.
     """
     ledger = evidence.ledger
     runs = ledger.runs_of(sent.request_id)
@@ -58,7 +64,7 @@
             continue
         if fault.is_planned and fault.scope == sent.entry:
             continue
-        if not inner_links and fault.kind.value.startswith(INNER_LINKS):
+        if not internal_links and fault.kind.value.startswith(INTERNAL_LINK_PREFIXES):
             continue
         if fault.from_s <= sent.ended_at and fault.until_s >= since:
             return False
@@ -67,11 +73,11 @@
 
 @promises("a planned stop cuts nothing that was passed on")
 class StopCutsNothing:
-    """After SIGTERM and within the grace period what a sound endpoint runs is answered.
+    """Within the grace period, what undisturbed endpoints run is answered.
 
     Not counted: the process was paused or killed, the endpoint ended, its link was
-    harmed or it misbehaved, the caller gave up, or the time of the request was used up.
-    Trouble of the store is no excuse: callers and endpoints do not notice it.
+    impaired or it misbehaved, the caller gave up, or the time limit was used up. Faults
+    of the store excuse no cut: callers and endpoints do not notice them.
     """
 
     def find(self, evidence: Evidence) -> list[Broken]:
@@ -81,21 +87,23 @@
             process = evidence.ledger.incarnation(sent.entry, sent.incarnation)
             if process is None or process.term_at is None:
                 continue
-            if not was_taken(sent, evidence.ledger):
+            if not was_passed_on(sent, evidence.ledger):
                 continue
             if not self._is_in_grace(sent, process, evidence.bounds.grace_s):
                 continue
-            if not is_sound(sent, evidence, inner_links=False):
+            if not is_undisturbed(sent, evidence, internal_links=False):
                 continue
-            found.append(broken(self, sent, self._describe(sent, process, evidence)))
+            found.append(
+                broken_promise(self, sent, self._describe(sent, process, evidence))
+            )
         return found
 
     def _is_in_grace(self, sent: Sent, process: Incarnation, grace_s: float) -> bool:
         after_s = sent.ended_at - process.term_at
         if process.was_killed or not 0.0 <= after_s <= grace_s + 1.0:
             return False
-        is_early = sent.sent_at - process.term_at <= ASKED_EARLY_S
-        return not (is_early and after_s >= grace_s * (1.0 - GRACE_PART))
+        is_early = sent.sent_at - process.term_at <= EARLY_REQUEST_S
+        return not (is_early and after_s >= grace_s * (1.0 - GRACE_END_FRACTION))
 
     def _describe(self, sent: Sent, process: Incarnation, evidence: Evidence) -> str:
         since = sent.sent_at - evidence.bounds.contact_s
@@ -115,15 +123,15 @@
 class CalmCutsNothing:
     """At an entry in touch no request is cut, whatever the operator changes.
 
-    Counts entries that no fault touched, nor the store, for the contact time, and
-    endpoints alike; a planned stop is judged by a check of its own.
+    Counts requests for which no fault affected the entry, the store or the endpoints
+    for the contact time. Another check judges planned stops.
     """
 
     def find(self, evidence: Evidence) -> list[Broken]:
         """Return every request that was cut in calm."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
-            if not was_taken(sent, evidence.ledger):
+            if not was_passed_on(sent, evidence.ledger):
                 continue
             process = evidence.ledger.incarnation(sent.entry, sent.incarnation)
             term_at = process.term_at if process is not None else None
@@ -134,9 +142,9 @@
                 (sent.entry, STORE), since, sent.ended_at, lag=False
             ):
                 continue
-            if not is_sound(sent, evidence, inner_links=True):
+            if not is_undisturbed(sent, evidence, internal_links=True):
                 continue
-            held_s = sent.ended_at - sent.sent_at
-            detail = f"{sent.route} cut after {held_s:.2f} s, status {sent.status}"
-            found.append(broken(self, sent, detail))
+            elapsed_s = sent.ended_at - sent.sent_at
+            detail = f"{sent.route} cut after {elapsed_s:.2f} s, status {sent.status}"
+            found.append(broken_promise(self, sent, detail))
         return found
--- a/packages/leadford-standins/src/leadford_standins/soak/checks/_quarantine.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/_quarantine.py
@@ -1,42 +1,47 @@
 """Check that a request that ends its endpoints is soon sent to none.
 
-Judges by where requests with such a body ran, as endpoints saw it. Relies on the ledger
-for which bodies these are.
+Judges by the runs of requests with such a body, as endpoints recorded them. The ledger
+lists these bodies.
 """
 
 from leadford_standins.soak._ledger import Sent
-from leadford_standins.soak.checks._base import Broken, Evidence, broken, promises
+from leadford_standins.soak.checks._base import (
+    Broken,
+    Evidence,
+    broken_promise,
+    promises,
+)
 
-# Endpoints that may end before it counts, and arrivals after the time to know it.
-ENDS_ALLOWED = 3
-LATER_ALLOWED = 3
+# Ended endpoints before the bound applies, and runs allowed after the contact time.
+MAX_ENDS = 3
+MAX_LATER_RUNS = 3
 
 
 @promises("a request that ends its endpoints is soon sent to none")
-class SentToNone:
-    """After the third end, and the time to be in touch, at most three more runs."""
+class CrashingRequestContained:
+    """The contact time after its third end, a request runs at most three times more."""
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return the run that is one too many of each such request."""
+        """Return the first run beyond the bound of each such request."""
         found: list[Broken] = []
         for body in evidence.ledger.ending_bodies_:
-            later = self._later(body, evidence)
-            if len(later) > LATER_ALLOWED:
-                sent = later[LATER_ALLOWED]
+            later = self._find_later(body, evidence)
+            if len(later) > MAX_LATER_RUNS:
+                sent = later[MAX_LATER_RUNS]
                 detail = f"{sent.route}: {len(later)} runs more after three ends"
-                found.append(broken(self, sent, detail))
+                found.append(broken_promise(self, sent, detail))
         return found
 
-    def _later(self, body: bytes, evidence: Evidence) -> list[Sent]:
-        """Return the requests with a body that ran long after the third end."""
+    def _find_later(self, body: bytes, evidence: Evidence) -> list[Sent]:
+        """Return the requests with the body that ran later than the contact time."""
         ledger = evidence.ledger
         runs = sorted(
             (run.at_s, run.request_id)
             for _, run in ledger.run_records_
             if run.body == body
         )
-        if len(runs) <= ENDS_ALLOWED:
+        if len(runs) <= MAX_ENDS:
             return []
-        known_at = runs[ENDS_ALLOWED - 1][0] + evidence.bounds.contact_s
+        known_at = runs[MAX_ENDS - 1][0] + evidence.bounds.contact_s
         later = [ledger.sent_by_id_[name] for at_s, name in runs if at_s > known_at]
         return [sent for sent in later if evidence.in_touch(sent, sent.ended_at)]
--- a/packages/leadford-standins/src/leadford_standins/soak/checks/_service.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/_service.py
@@ -1,53 +1,58 @@
-"""Check that entries are ready and serve when they should, and not when they stop.
+"""Check that entries in calm are ready and serve, and that stopping ones are not ready.
 
 Judges by the answers to readiness checks and by what callers got in calm. Relies on
-`_cuts` for the time that a request has.
+`_cuts` for the time limit of a request.
 """
 
 from leadford_standins.soak._base import MISBEHAVIOUR, STORE
 from leadford_standins.soak._ledger import Outcome, ReadyAnswer, Sent
-from leadford_standins.soak.checks._base import Broken, Evidence, broken, promises
-from leadford_standins.soak.checks._cuts import time_of
+from leadford_standins.soak.checks._base import (
+    Broken,
+    Evidence,
+    broken_promise,
+    promises,
+)
+from leadford_standins.soak.checks._cuts import time_limit_s
 from leadford_standins.soak.parts import DENIED_KEY, DENIED_ROUTE, WORK_HEADER
 
-READY = 200
-# Seconds that a request may need besides the work at its endpoint.
-ROUND_S = 0.4
-# Seconds after SIGTERM until an entry must say that it takes no new callers.
-STOPS_S = 0.5
+READY_STATUS = 200
+# Time that a request may need besides the work at its endpoint.
+OVERHEAD_S = 0.4
+# Time after SIGTERM within which an entry must report that it is not ready.
+NOT_READY_DELAY_S = 0.5
 
 
 @promises("an entry is ready in calm and not once it stops", timed=True)
-class ReadyWhenItShould:
-    """An entry in touch is ready; one that was asked to stop is not, 0.5 s later.
+class ReadinessCorrect:
+    """An entry in touch is ready; from 0.5 s after SIGTERM it is not.
 
-    Not counted for the stop: an entry that was paused.
+    Entries that were paused do not count for the stop.
     """
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every answer of the ready page that is wrong."""
+        """Return every wrong answer to a readiness check."""
         found: list[Broken] = []
         for answer in evidence.ledger.ready_answers_:
-            fault = self._fault(answer, evidence)
-            if fault:
+            defect = self._find_defect(answer, evidence)
+            if defect:
                 found.append(
-                    Broken(self.promise, "", answer.entry, answer.asked_at, fault)
+                    Broken(self.promise, "", answer.entry, answer.asked_at, defect)
                 )
         return found
 
-    def _fault(self, answer: ReadyAnswer, evidence: Evidence) -> str:
+    def _find_defect(self, answer: ReadyAnswer, evidence: Evidence) -> str:
         since = answer.asked_at - evidence.bounds.contact_s
         ledger = evidence.ledger
         process = ledger.incarnation(answer.entry, answer.incarnation)
         if process.term_at is not None and answer.answered_at >= process.term_at:
             after_s = answer.asked_at - process.term_at
-            if answer.status != READY or after_s < STOPS_S:
+            if answer.status != READY_STATUS or after_s < NOT_READY_DELAY_S:
                 return ""
             scopes = (answer.entry,)
             if not ledger.is_calm(scopes, since, answer.answered_at, planned=False):
                 return ""
             return f"ready {after_s:.2f} s after SIGTERM"
-        if answer.status == READY:
+        if answer.status == READY_STATUS:
             return ""
         if not ledger.is_calm((answer.entry, STORE), since, answer.answered_at):
             return ""
@@ -56,15 +61,15 @@
 
 @promises("calm serves what every configuration allows", timed=True)
 class ServedInCalm:
-    """At an entry in touch, with sound endpoints, a proper request is served.
+    """At an entry in touch, with undisturbed endpoints, an allowed request is served.
 
-    Counts requests that every version allows which may be in force, and whose work fits
-    into their time. No endpoint and no other entry was harmed for the contact time,
-    since they work for all requests.
+    Counts requests that every version which may be in force allows, and whose work fits
+    into their time limit. No fault may affect any endpoint or any other entry for the
+    contact time, since they work for all requests.
     """
 
     def find(self, evidence: Evidence) -> list[Broken]:
-        """Return every proper request that was not served."""
+        """Return every such request that was not served."""
         found: list[Broken] = []
         for sent in evidence.ledger.sent_by_id_.values():
             if 200 <= sent.status < 300 and sent.outcome is Outcome.WHOLE:
@@ -72,28 +77,29 @@
             if sent.detail == "gives up":
                 continue
             if sent.body in evidence.ledger.ending_bodies_:
-                # It is refused once it is known; `_quarantine` judges by its runs.
+                # Refused once it is known to end endpoints; see `_quarantine`.
                 continue
-            if not _fits(sent) or not _is_allowed(sent, evidence):
+            if not _fits_time_limit(sent) or not _is_allowed(sent, evidence):
                 continue
             if not _is_all_calm(sent, evidence):
                 continue
-            held_s = sent.ended_at - sent.sent_at
+            elapsed_s = sent.ended_at - sent.sent_at
             detail = (
-                f"{sent.route} {sent.outcome.value} {sent.status} after {held_s:.2f} s"
+                f"{sent.route} {sent.outcome.value} {sent.status} "
+                f"after {elapsed_s:.2f} s"
             )
-            found.append(broken(self, sent, detail))
+            found.append(broken_promise(self, sent, detail))
         return found
 
 
-def _fits(sent: Sent) -> bool:
-    """Tell whether the work that a caller asks for can end in the time it gives."""
+def _fits_time_limit(sent: Sent) -> bool:
+    """Tell whether the work of a request can finish within its time limit."""
     work_s = float(sent.asked.get(WORK_HEADER, "0")) / 1_000.0
-    return work_s + ROUND_S <= time_of(sent)
+    return work_s + OVERHEAD_S <= time_limit_s(sent)
 
 
 def _is_allowed(sent: Sent, evidence: Evidence) -> bool:
-    """Tell whether every version allows a request that may be in force meanwhile."""
+    """Tell whether all versions that may be in force meanwhile allow a request."""
     since = sent.sent_at - evidence.bounds.config_s
     versions = evidence.versions
     oldest = max(0, sum(version.acked_at < since for version in versions) - 1)
--- a/packages/leadford-standins/src/leadford_standins/soak/checks/tests/test_checks.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/checks/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check finds the promise that was broken, and accuses nobody else."""
+"""Each check finds a break of its promise, and nothing in correct runs."""
 
 import pytest
 
@@ -194,9 +194,8 @@
     return ledger_of(answered(status=503, ran=False), services=())
 
 
-# A ledger for each promise that breaks it.
 def ended_endpoints(later=4):
-    """Return a ledger of a request that ran three times, and later again."""
+    """Return a ledger of a request that ran three times, and `later` times more."""
     moments = [50.0, 50.1, 50.2, *(60.0 + number for number in range(later))]
     copies = [
         answered(at=at, request_id=f"r{number}", body=b"ends")
@@ -208,6 +207,7 @@
     return ledger
 
 
+# For each promise, a function that makes a ledger that breaks it.
 BREAKING = {
     "a request that ends its endpoints is soon sent to none": ended_endpoints,
     "an entry is ready in calm and not once it stops": not_ready_in_calm,
@@ -234,8 +234,8 @@
 
 @pytest.mark.parametrize("check", checks, ids=lambda check: check.promise)
 def test_each_check_finds_a_broken_promise(check):
-    made = BREAKING[check.promise]()
-    ledger, versions = made if isinstance(made, tuple) else (made, None)
+    case = BREAKING[check.promise]()
+    ledger, versions = case if isinstance(case, tuple) else (case, None)
     assert check.promise in found_in(ledger, versions)
 
 
@@ -259,8 +259,8 @@
 )
 @pytest.mark.parametrize("scope", [ENTRY, STORE])
 def test_nobody_out_of_touch_is_held_to_the_clock(make, scope):
-    made = make()
-    ledger, versions = made if isinstance(made, tuple) else (made, None)
+    case = make()
+    ledger, versions = case if isinstance(case, tuple) else (case, None)
     ledger.disturb(scope, FaultKind.STORE_BUSY, 25.0, 60.0)
     assert found_in(ledger, versions) == set()
 
