--- a/packages/leadford-standins/src/leadford_standins/soak/_runner.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/_runner.py
@@ -57,7 +57,7 @@
             entries=scene.entries_,
             config=scene.config_,
         )
-        scene.on_stop_ = callers.press
+        scene.on_stop_ = callers.use_reserved_connections
         scene.repeat_ = callers.repeat
         watching = asyncio.create_task(watch_ready(scene.entries_, scene.ledger))
         loop = asyncio.get_running_loop()
@@ -67,7 +67,7 @@
         await injecting
         for entry in scene.entries_:
             entry.is_ending_ = True
-            callers.press(entry)
+            callers.use_reserved_connections(entry)
         await asyncio.gather(*[entry.stop() for entry in scene.entries_])
         await callers.finish()
         watching.cancel()
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_links.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_links.py
@@ -8,17 +8,17 @@
 
 from leadford_standins.soak._base import Fault, FaultKind
 from leadford_standins.soak.faults._base import injects
-from leadford_standins.soak.parts import LinkState, SoakScene, Way
+from leadford_standins.soak.parts import Direction, LinkState, SoakScene
 
 K = FaultKind
-BOTH_WAYS = (Way.TO, Way.FROM)
-WAYS_BY_KIND = {
-    K.STORE_LINK_CUT_TO: (Way.TO,),
-    K.STORE_LINK_CUT_FROM: (Way.FROM,),
-    K.PEER_LINK_CUT: (Way.FROM,),
-    K.STORE_LINK_SILENT: BOTH_WAYS,
-    K.PEER_LINK_SILENT: BOTH_WAYS,
-    K.ENDPOINT_LINK_SILENT: BOTH_WAYS,
+BOTH_DIRECTIONS = (Direction.TO, Direction.FROM)
+DIRECTIONS_BY_KIND = {
+    K.STORE_LINK_CUT_TO: (Direction.TO,),
+    K.STORE_LINK_CUT_FROM: (Direction.FROM,),
+    K.PEER_LINK_CUT: (Direction.FROM,),
+    K.STORE_LINK_SILENT: BOTH_DIRECTIONS,
+    K.PEER_LINK_SILENT: BOTH_DIRECTIONS,
+    K.ENDPOINT_LINK_SILENT: BOTH_DIRECTIONS,
 }
 STORE_KINDS = (
     K.STORE_LINK_DELAYED,
@@ -79,18 +79,18 @@
     if fault.kind in RESET_KINDS:
         link.reset()
         return
-    ways = WAYS_BY_KIND.get(fault.kind, ())
-    for way in ways:
-        link.holds_by_way_[way] += 1
+    directions = DIRECTIONS_BY_KIND.get(fault.kind, ())
+    for direction in directions:
+        link.hold_counts_by_direction_[direction] += 1
     if fault.kind in DELAY_KINDS:
         link.delay_s = fault.amount
     if fault.kind is K.STORE_LINK_NARROW:
-        link.rate = fault.amount
+        link.bytes_per_s = fault.amount
     await asyncio.sleep(fault.duration_s)
-    for way in ways:
-        link.holds_by_way_[way] -= 1
+    for direction in directions:
+        link.hold_counts_by_direction_[direction] -= 1
     if fault.kind in DELAY_KINDS:
         link.delay_s = 0.0
     if fault.kind is K.STORE_LINK_NARROW:
-        link.rate = None
+        link.bytes_per_s = None
     disturbance.until_s = asyncio.get_running_loop().time()
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_platform.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_platform.py
@@ -71,7 +71,7 @@
     The operator and the endpoints write again what they had written since the copy,
     before the next copy is made: they know what the store lost for one copy only.
     """
-    async with scene.restoring_:
+    async with scene.restore_lock_:
         await _restore_from_copy(scene, fault)
 
 
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_processes.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_processes.py
@@ -67,7 +67,7 @@
 async def pause_entry(scene: SoakScene, fault: Fault) -> None:
     """Pause an entry for a while by SIGSTOP."""
     entry = scene.entry(fault.target)
-    number = entry.number_
+    number = entry.start_count_
     if not entry.signal(signal.SIGSTOP):
         return
     now = asyncio.get_running_loop().time()
@@ -75,7 +75,7 @@
         entry.name, fault.kind, now, now + fault.duration_s
     )
     await asyncio.sleep(fault.duration_s)
-    if entry.number_ == number:
+    if entry.start_count_ == number:
         entry.signal(signal.SIGCONT)
     disturbance.until_s = asyncio.get_running_loop().time()
 
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/__init__.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/__init__.py
@@ -9,7 +9,7 @@
 )
 from leadford_standins.soak.parts._endpoints import WORK_HEADER, RunningEndpoint
 from leadford_standins.soak.parts._processes import PROGRAM, EntryProcess
-from leadford_standins.soak.parts._proxy import LinkState, Way
+from leadford_standins.soak.parts._proxy import Direction, LinkState
 from leadford_standins.soak.parts._ready import watch_ready
 from leadford_standins.soak.parts._scene import SoakScene
 
@@ -21,10 +21,10 @@
     "Callers",
     "ConfigSeen",
     "ConfigWriter",
+    "Direction",
     "EntryProcess",
     "LinkState",
     "RunningEndpoint",
     "SoakScene",
-    "Way",
     "watch_ready",
 ]
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_callers.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_callers.py
@@ -1,7 +1,7 @@
-"""Send requests to the entries over kept and new connections.
+"""Send requests to the entries over idle and new connections.
 
-Owns the callers' connections. Requests come at random; when an entry is asked to stop,
-callers go on using the connections they hold to it until the process is gone.
+Owns the callers' connections. Requests come at random; when an entry is told to stop,
+callers continue to use their connections to it until the process ends.
 """
 
 import asyncio
@@ -15,26 +15,26 @@
 from leadford_standins.soak.parts._processes import EntryProcess
 from leadford_standins.wire import HOST
 
-# Seconds of a route's time; as in the configuration of the stand-ins.
+# Timeout of every route in the configuration of the stand-ins.
 ROUTE_TIMEOUT_S = 4.0
-# Seconds beyond its route's time after which a caller leaves.
-LEAVE_AFTER_S = 1.5
+# Time past the timeout of the route after which a caller leaves.
+LEAVE_DELAY_S = 1.5
 DEADLINES_MS = (1_500, 3_500)
-# Parts of the requests that take a new connection, and that their caller gives up.
-NEW_PART = 0.15
-GIVE_UP_PART = 0.02
+# Fractions of the requests that use a new connection, and that their caller gives up.
+NEW_CONNECTION_FRACTION = 0.15
+GIVE_UP_FRACTION = 0.02
 GIVE_UP_S = (0.02, 0.6)
 WORK_MS = (2.0, 60.0)
-LONG_WORK_LEAST_MS = 300.0
-# Connections that are held to each entry for the end of a planned stop, and the seconds
-# after its signal around which half of them are used: a stop may end from there on.
-RESERVE = 24
-STOP_MAY_END_S = (2.8, 4.6)
-# Connections at rest that are kept to each entry besides.
-KEPT_MAX = 32
+MIN_LONG_WORK_MS = 300.0
+# Connections reserved to each entry for a planned stop, and the time after its signal
+# in which half of them are used: a stop may end from there on.
+MAX_RESERVED_CONNECTIONS = 24
+STOP_END_RANGE_S = (2.8, 4.6)
+# Idle connections kept to each entry besides the reserved ones.
+MAX_IDLE_CONNECTIONS = 32
 ROUTES = ("safe", "unsafe", "resumed", "once", MOVED_ROUTE, "added", "gone", "never")
 ROUTE_WEIGHTS = (4, 4, 3, 3, 3, 3, 1, 0.3)
-ADDED_LATELY = 6
+RECENT_ROUTE_COUNT = 6
 
 
 class Callers:
@@ -54,20 +54,22 @@
         self.ledger = ledger
         self.entries = entries
         self.config = config
-        self.kept_: dict[str, list[CallerConnection]] = {e.name: [] for e in entries}
-        self.reserve_: dict[str, list[CallerConnection]] = {e.name: [] for e in entries}
+        self.idle_: dict[str, list[CallerConnection]] = {e.name: [] for e in entries}
+        self.reserved_: dict[str, list[CallerConnection]] = {
+            e.name: [] for e in entries
+        }
         self.tasks_: set[asyncio.Task[None]] = set()
         self.count_ = 0
 
     async def run(self, seconds: float) -> None:
-        """Send requests for a time, then wait for the last answers."""
+        """Send requests for a time in seconds, then wait for the last answers."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        filling = asyncio.create_task(self._fill_reserves())
+        filling = asyncio.create_task(self._fill_reserved())
         while loop.time() < until:
             await asyncio.sleep(self.random.expovariate(self.options.requests_per_s))
             entry = self.random.choice(self.entries)
-            self._spawn(self._send(entry, self._draw(entry), None))
+            self._spawn(self._send(entry, self._draw_request(entry), None))
         filling.cancel()
         await self.finish()
 
@@ -76,12 +78,14 @@
         while self.tasks_:
             await asyncio.wait(list(self.tasks_))
 
-    def press(self, entry: EntryProcess) -> None:
-        """Use the connections held to an entry that is asked to stop, until its end."""
-        held = self.reserve_[entry.name]
-        self.reserve_[entry.name] = []
-        for number, connection in enumerate(held):
-            span = STOP_MAY_END_S if number % 2 else (0.0, self.options.bounds.grace_s)
+    def use_reserved_connections(self, entry: EntryProcess) -> None:
+        """Send requests over the reserved connections to an entry that is stopping."""
+        reserved = self.reserved_[entry.name]
+        self.reserved_[entry.name] = []
+        for number, connection in enumerate(reserved):
+            span = (
+                STOP_END_RANGE_S if number % 2 else (0.0, self.options.bounds.grace_s)
+            )
             after_s = self.random.uniform(*span)
             self._spawn(self._send_later(entry, connection, after_s))
 
@@ -91,27 +95,27 @@
         await asyncio.sleep(after_s)
         if not connection.is_usable:
             return
-        await self._send(entry, self._draw(entry), connection)
+        await self._send(entry, self._draw_request(entry), connection)
 
-    async def _fill_reserves(self) -> None:
+    async def _fill_reserved(self) -> None:
         while True:
             for entry in self.entries:
-                held = [c for c in self.reserve_[entry.name] if c.is_usable]
-                self.reserve_[entry.name] = held
-                if len(held) >= RESERVE or entry.is_ending_:
+                reserved = [c for c in self.reserved_[entry.name] if c.is_usable]
+                self.reserved_[entry.name] = reserved
+                if len(reserved) >= MAX_RESERVED_CONNECTIONS or entry.is_ending_:
                     continue
-                opened = await self._open(entry)
+                opened = await self._open_connection(entry)
                 if opened is not None:
-                    self.reserve_[entry.name].append(opened)
+                    self.reserved_[entry.name].append(opened)
             await asyncio.sleep(0.05)
 
-    async def _open(self, entry: EntryProcess) -> CallerConnection | None:
+    async def _open_connection(self, entry: EntryProcess) -> CallerConnection | None:
         if not entry.is_running():
             return None
-        return await CallerConnection.open(entry.callers, entry.number_)
+        return await CallerConnection.open(entry.callers, entry.start_count_)
 
     def repeat(self, request: RepeatedRequest) -> None:
-        """Send a request again and again, each time through any entry."""
+        """Send copies of a request, each through a random entry."""
         self._spawn(self._repeat(request))
 
     async def _repeat(self, request: RepeatedRequest) -> None:
@@ -120,7 +124,7 @@
         key = self.config.draw_key()
         while loop.time() < until:
             entry = self.random.choice(self.entries)
-            sent = self._draw(entry)
+            sent = self._draw_request(entry)
             sent.route, sent.method = request.route, "POST"
             sent.path, sent.key = f"/{request.route}/ending", key
             sent.body = request.body
@@ -130,24 +134,24 @@
     def _spawn(self, coroutine) -> None:
         task = asyncio.create_task(coroutine)
         self.tasks_.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks_.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.ledger.errors_.append(f"caller: {task.exception()!r}")
 
-    def _draw(self, entry: EntryProcess) -> Sent:
-        """Return a request that was drawn."""
+    def _draw_request(self, entry: EntryProcess) -> Sent:
+        """Return a request drawn at random."""
         random = self.random
         route = random.choices(ROUTES, ROUTE_WEIGHTS)[0]
         segment = route
         if route == "added":
-            lately = self.config.added_routes_[-ADDED_LATELY:]
-            segment = random.choice(lately or [MOVED_ROUTE])
+            recent = self.config.added_routes_[-RECENT_ROUTE_COUNT:]
+            segment = random.choice(recent or [MOVED_ROUTE])
         if route == "gone":
-            lately = self.config.gone_routes_[-ADDED_LATELY:]
-            segment = random.choice(lately or ["gone"])
+            recent = self.config.removed_routes_[-RECENT_ROUTE_COUNT:]
+            segment = random.choice(recent or ["gone"])
         self.count_ += 1
         return Sent(
             request_id=f"r{self.count_:06d}",
@@ -157,7 +161,7 @@
             key=self.config.draw_key(),
             body=b"",
             entry=entry.name,
-            incarnation=entry.number_,
+            incarnation=entry.start_count_,
             sent_at=0.0,
             timeout_s=ROUTE_TIMEOUT_S,
         )
@@ -166,39 +170,39 @@
         self, entry: EntryProcess, sent: Sent, connection: CallerConnection | None
     ) -> None:
         self.ledger.sent_by_id_[sent.request_id] = sent
-        headers = self._headers(sent)
-        connection = connection or await self._connect(entry)
+        headers = self._make_headers(sent)
+        connection = connection or await self._take_connection(entry)
         if connection is None:
             sent.sent_at = sent.ended_at = asyncio.get_running_loop().time()
             sent.outcome = Outcome.UNSENT
             return
         sent.incarnation = connection.incarnation
-        leave_s = ROUTE_TIMEOUT_S + LEAVE_AFTER_S
-        if self.random.random() < GIVE_UP_PART:
-            leave_s = self.random.uniform(*GIVE_UP_S)
+        leave_after_s = ROUTE_TIMEOUT_S + LEAVE_DELAY_S
+        if self.random.random() < GIVE_UP_FRACTION:
+            leave_after_s = self.random.uniform(*GIVE_UP_S)
             sent.detail = "gives up"
-        await connection.exchange(sent, headers, leave_s)
+        await connection.exchange(sent, headers, leave_after_s)
         if not connection.is_usable:
             return
-        if len(self.kept_[entry.name]) < KEPT_MAX:
-            self.kept_[entry.name].append(connection)
+        if len(self.idle_[entry.name]) < MAX_IDLE_CONNECTIONS:
+            self.idle_[entry.name].append(connection)
         else:
             connection.close()
 
-    async def _connect(self, entry: EntryProcess) -> CallerConnection | None:
-        kept = [c for c in self.kept_[entry.name] if c.is_usable]
-        self.kept_[entry.name] = kept
-        if kept and self.random.random() >= NEW_PART:
-            return kept.pop(self.random.randrange(len(kept)))
-        return await self._open(entry)
+    async def _take_connection(self, entry: EntryProcess) -> CallerConnection | None:
+        idle = [c for c in self.idle_[entry.name] if c.is_usable]
+        self.idle_[entry.name] = idle
+        if idle and self.random.random() >= NEW_CONNECTION_FRACTION:
+            return idle.pop(self.random.randrange(len(idle)))
+        return await self._open_connection(entry)
 
-    def _headers(self, sent: Sent) -> dict[str, str]:
+    def _make_headers(self, sent: Sent) -> dict[str, str]:
         random = self.random
         if sent.method == "POST" and not sent.body:
             sent.body = f"payload of {sent.request_id}".encode()
         span = WORK_MS
         if random.random() < self.options.long_part:
-            span = (LONG_WORK_LEAST_MS, self.options.long_work_s * 1_000.0)
+            span = (MIN_LONG_WORK_MS, self.options.long_work_s * 1_000.0)
         headers = {
             "Host": HOST,
             "X-Attempt-Id": sent.request_id,
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_config.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_config.py
@@ -1,7 +1,8 @@
-"""Hold the configuration that the soak's operator writes, and every version of it.
+"""Hold the configuration that the operator of the soak writes, and all its versions.
 
-Owns the versions and when the store acknowledged each; answers what a version does with
-a request. Every prefix of a route is one segment, so the first segment names it.
+Owns the versions and the time at which the store acknowledged each; returns the verdict
+of a version on a request. Every route prefix is one segment, so the first segment of a
+path names the route.
 """
 
 from random import Random
@@ -14,14 +15,14 @@
 DENIED_KEY = "401"
 MOVED_ROUTE = "moved"
 MOVED_SERVICES = ("plain", "other")
-# Milliseconds that callers may leave a connection at rest; longer than a run.
-IDLE_MS = 600_000
-# A version is higher than the one before by at most this; a choice.
-VERSION_STEP = 5
+# Idle timeout of callers' connections; longer than a run.
+IDLE_TIMEOUT_MS = 600_000
+# A version number exceeds the one before by at most this.
+MAX_VERSION_STEP = 5
 
 
 class ConfigSeen(msgspec.Struct, frozen=True):
-    """Hold one version: when it was acknowledged and what it allows."""
+    """Hold a version of the configuration: when it was acknowledged, what it allows."""
 
     number: int
     acked_at: float
@@ -29,7 +30,7 @@
     workspaces_by_key: dict[str, str]
 
     def verdict(self, path: str, key: str | None) -> str:
-        """Return the service that runs a request, or how it is denied."""
+        """Return the service that runs a request, or the status that denies it."""
         segment = path.strip("/").split("/")[0]
         service = self.services_by_segment.get(segment)
         if service is None:
@@ -40,32 +41,32 @@
 
 
 class ConfigWriter:
-    """Change the configuration, and remember all of its versions."""
+    """Change the configuration, and record all of its versions."""
 
     def __init__(self, *, random: Random) -> None:
         self.random = random
         self.versions_: list[ConfigSeen] = []
         self.added_routes_: list[str] = []
         self.added_keys_: list[str] = []
-        self.gone_routes_: list[str] = []
-        self.gone_keys_: list[str] = []
-        self.made_ = 0
-        self.document_ = self._first()
+        self.removed_routes_: list[str] = []
+        self.revoked_keys_: list[str] = []
+        self.added_count_ = 0
+        self.document_ = self._make_first_document()
 
-    def _first(self) -> dict:
+    def _make_first_document(self) -> dict:
         document = default_config()
-        document["limits"] = {"idleTimeoutMs": IDLE_MS}
+        document["limits"] = {"idleTimeoutMs": IDLE_TIMEOUT_MS}
         document["services"].append({"name": "other", "maxConns": 64})
-        document["routes"].append(self._route(MOVED_ROUTE, MOVED_SERVICES[0]))
+        document["routes"].append(self._make_route(MOVED_ROUTE, MOVED_SERVICES[0]))
         return document
 
-    def _route(self, name: str, service: str) -> dict:
+    def _make_route(self, name: str, service: str) -> dict:
         routes = self.document_["routes"] if self.versions_ else default_config()
         plain = (routes if self.versions_ else routes["routes"])[1]
         return {**plain, "name": name, "pathPrefix": f"/{name}/", "service": service}
 
-    def acknowledged(self, now: float) -> None:
-        """Remember the document as a version that the store has acknowledged."""
+    def record_version(self, now: float) -> None:
+        """Record the document as a version that the store has acknowledged."""
         routes = self.document_["routes"]
         self.versions_.append(
             ConfigSeen(
@@ -81,24 +82,24 @@
         )
 
     def next_version(self) -> None:
-        """Raise the version by an uneven step."""
-        self.document_["version"] += self.random.randint(1, VERSION_STEP)
+        """Increase the version number by a random step."""
+        self.document_["version"] += self.random.randint(1, MAX_VERSION_STEP)
 
     def move_route(self) -> None:
-        """Send the moved route to the other service."""
+        """Switch the moved route to its other service."""
         for route in self.document_["routes"]:
             if route["name"] != MOVED_ROUTE:
                 continue
-            here = MOVED_SERVICES.index(route["service"])
-            route["service"] = MOVED_SERVICES[1 - here]
+            current = MOVED_SERVICES.index(route["service"])
+            route["service"] = MOVED_SERVICES[1 - current]
 
     def add_routes(self, count: int) -> None:
-        """Add routes that never were before."""
+        """Add routes with names that were never used before."""
         for _ in range(count):
-            self.made_ += 1
-            name = f"added-{self.made_}"
+            self.added_count_ += 1
+            name = f"added-{self.added_count_}"
             service = self.random.choice(MOVED_SERVICES)
-            self.document_["routes"].append(self._route(name, service))
+            self.document_["routes"].append(self._make_route(name, service))
             self.added_routes_.append(name)
 
     def remove_route(self) -> None:
@@ -107,16 +108,16 @@
             return
         name = self.random.choice(self.added_routes_)
         self.added_routes_.remove(name)
-        self.gone_routes_.append(name)
+        self.removed_routes_.append(name)
         kept = [route for route in self.document_["routes"] if route["name"] != name]
         self.document_["routes"] = kept
 
     def add_key(self) -> None:
-        """Add a key that never was before."""
-        self.made_ += 1
-        key = f"added-key-{self.made_}"
+        """Add a key that was never used before."""
+        self.added_count_ += 1
+        key = f"added-key-{self.added_count_}"
         self.added_keys_.append(key)
-        self._keys().append(key)
+        self._workspace_keys().append(key)
 
     def revoke_key(self) -> None:
         """Revoke one of the added keys."""
@@ -124,19 +125,19 @@
             return
         key = self.random.choice(self.added_keys_)
         self.added_keys_.remove(key)
-        self.gone_keys_.append(key)
-        self._keys().remove(key)
+        self.revoked_keys_.append(key)
+        self._workspace_keys().remove(key)
 
-    def _keys(self) -> list[str]:
+    def _workspace_keys(self) -> list[str]:
         return self.document_["tenants"][0]["apiKeys"]
 
     def draw_key(self) -> str | None:
-        """Return a key that a caller uses: mostly a sound one."""
+        """Return a key for a caller to use, mostly a valid one."""
         drawn = self.random.random()
         if drawn < 0.85:
             return KEY
         if drawn < 0.95 and self.added_keys_:
             return self.random.choice(self.added_keys_[-3:])
-        if drawn < 0.98 and self.gone_keys_:
-            return self.random.choice(self.gone_keys_[-3:])
+        if drawn < 0.98 and self.revoked_keys_:
+            return self.random.choice(self.revoked_keys_[-3:])
         return "never-a-key" if drawn > 0.99 else KEY
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_connection.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_connection.py
@@ -1,7 +1,7 @@
-"""Send one request after another over a connection, as a caller does.
+"""Send requests over a caller's connection, one after another.
 
-Writes into the record of a request how it ended. Relies on tornado's HTTP/1 connection;
-unlike a client library it never repeats a request and shows answers that were cut.
+Records the outcome in the record of each request. Relies on tornado's HTTP/1
+connection, which unlike a client library never retries and exposes cut answers.
 """
 
 import asyncio
@@ -11,13 +11,13 @@
 
 from leadford_standins.soak._ledger import Outcome, Sent
 
-# Seconds for a new connection to come up; that of the platform's clients.
-CONNECT_S = 1.0
-ANSWER_BYTES_MAX = 8 * 1024 * 1024
+# Timeout of a new connection, as for the platform's clients.
+CONNECT_TIMEOUT_S = 1.0
+MAX_ANSWER_BYTES = 8 * 1024 * 1024
 
 
 class _Answer(httputil.HTTPMessageDelegate):
-    """Write what comes into the record of a request."""
+    """Write a received answer into the record of its request."""
 
     def __init__(self, sent: Sent) -> None:
         self.sent = sent
@@ -44,23 +44,23 @@
     def __init__(self, *, stream: iostream.IOStream, incarnation: int) -> None:
         self.stream = stream
         self.incarnation = incarnation
-        self.uses_ = 0
+        self.use_count_ = 0
 
     @classmethod
     async def open(
         cls, address: tuple[str, int], incarnation: int
     ) -> "CallerConnection | None":
-        """Connect; None when nobody listens."""
+        """Open a connection; return None if connecting fails."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = iostream.IOStream(sock, max_buffer_size=ANSWER_BYTES_MAX)
+        stream = iostream.IOStream(sock, max_buffer_size=MAX_ANSWER_BYTES)
         try:
-            await asyncio.wait_for(stream.connect(address), CONNECT_S)
+            await asyncio.wait_for(stream.connect(address), CONNECT_TIMEOUT_S)
         except (TimeoutError, iostream.StreamClosedError, OSError):
-            # The caller records that nothing was sent.
+            # The caller records the request as not sent.
             stream.close()
             return None
-        # Reading notices a close while the connection rests.
+        # With a close callback the stream detects a close while it is idle.
         stream.set_close_callback(lambda: None)
         return cls(stream=stream, incarnation=incarnation)
 
@@ -69,11 +69,11 @@
         """Tell whether another request may be sent."""
         return not self.stream.closed()
 
-    async def exchange(self, sent: Sent, headers: dict[str, str], leave_s: float):
-        """Send a request and read its answer; leave after a time."""
+    async def exchange(self, sent: Sent, headers: dict[str, str], leave_after_s: float):
+        """Send a request and read its answer; give up after a time."""
         loop = asyncio.get_running_loop()
-        sent.is_kept = self.uses_ > 0
-        self.uses_ += 1
+        sent.is_kept = self.use_count_ > 0
+        self.use_count_ += 1
         answer = _Answer(sent)
         parameters = http1connection.HTTP1ConnectionParameters()
         exchange = http1connection.HTTP1Connection(self.stream, True, parameters)
@@ -84,7 +84,7 @@
                 start_line, httputil.HTTPHeaders(headers), sent.body or None
             )
             exchange.finish()
-            async with asyncio.timeout(leave_s):
+            async with asyncio.timeout(leave_after_s):
                 await exchange.read_response(answer)
             sent.outcome = Outcome.WHOLE if answer.is_complete_ else Outcome.CUT
         except TimeoutError:
@@ -97,5 +97,5 @@
             self.close()
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         self.stream.close()
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_endpoints.py
@@ -1,6 +1,6 @@
-"""Run endpoints behind links that can be harmed, and end them in every way.
+"""Run endpoints behind links that can be impaired, and drain, end or replace them.
 
-Owns the endpoints that are listed and all that ever were; each has a proxy of its own.
+Owns all live endpoints and all former ones; each has a proxy of its own.
 Relies on the stand-ins of `leadford_standins.wire`.
 """
 
@@ -21,16 +21,16 @@
 )
 from leadford_standins.wire._endpoints import EndpointHandler
 
-# Names the milliseconds that a caller wants the work on its request to take.
+# Header with the time in milliseconds that the work on a request is to take.
 WORK_HEADER = "X-Work-Ms"
 SERVICES = ("plain", "other", "stage", "engine")
-ENDS_LATER = float("inf")
-# Seconds until an endpoint that ended under a request is back, as another start.
-BACK_S = 1.5
+NEVER_ENDS_S = float("inf")
+# Time after which an endpoint that a request ended is replaced by a new one.
+REPLACEMENT_DELAY_S = 1.5
 
 
-class WorkingPlain(PlainStandIn):
-    """Work on each request for as long as its caller says."""
+class TimedPlainStandIn(PlainStandIn):
+    """Work on each request for the time that its caller asks for."""
 
     async def serve(self, handler: EndpointHandler) -> None:
         """Run one request."""
@@ -41,15 +41,15 @@
         handler.finish(body + b" " + request.body)
 
 
-class NamingEngine(EngineStandIn):
-    """Name the request in each event, so that joined streams can be told apart."""
+class RequestNamingEngine(EngineStandIn):
+    """Name the request in each event, so that mixed up streams are detected."""
 
     async def serve(self, handler: EndpointHandler) -> None:
-        """Run one stream, until its caller leaves."""
+        """Serve one stream until it ends or its caller leaves."""
         try:
             await super().serve(handler)
         except iostream.StreamClosedError:
-            # Whoever asked has left; the record of the run stays.
+            # The caller has left; the record of the run stays.
             return
 
     def event(self, number: int, request: HTTPServerRequest) -> str:
@@ -59,7 +59,7 @@
 
 
 class RunningEndpoint:
-    """Hold one endpoint, its proxy and the link between."""
+    """Hold one endpoint, its proxy and the link to it."""
 
     def __init__(self, *, endpoint: PlainStandIn) -> None:
         self.endpoint = endpoint
@@ -67,7 +67,7 @@
         self.is_leaving_ = False
 
     async def start(self) -> None:
-        """Listen; the address that is listed is that of the proxy."""
+        """Start the endpoint and its proxy, whose address is listed."""
         self.target_ = self.endpoint.start()
         self.proxy_ = FaultProxy(target=self.target_, link_of=self._link)
         self.endpoint.address_ = await self.proxy_.start()
@@ -102,21 +102,23 @@
             for hall in self.halls:
                 await self.add(service, hall)
 
-    def _make(self, service: str, hall: str) -> PlainStandIn:
+    def _make_endpoint(self, service: str, hall: str) -> PlainStandIn:
         if service == "stage":
             stage = StageStandIn(service=service, hall=hall, makers=self.makers_)
             self.makers_.append(stage)
             return stage
         if service == "engine":
-            engine = NamingEngine(service=service, hall=hall, makers=self.makers_)
+            engine = RequestNamingEngine(
+                service=service, hall=hall, makers=self.makers_
+            )
             engine.pause_s = 0.05
             return engine
-        return WorkingPlain(service=service, hall=hall)
+        return TimedPlainStandIn(service=service, hall=hall)
 
     async def add(self, service: str, hall: str) -> RunningEndpoint:
         """Start an endpoint and list it."""
-        running = RunningEndpoint(endpoint=self._make(service, hall))
-        # Shared, so that endpoints that start later end on the same requests.
+        running = RunningEndpoint(endpoint=self._make_endpoint(service, hall))
+        # A shared set, so that endpoints started later end on the same requests.
         running.endpoint.ends_on_ = self.ledger.ending_bodies_
         running.endpoint.on_end_ = partial(self._on_end, running)
         await running.start()
@@ -128,28 +130,28 @@
         return running
 
     def _on_end(self, running: RunningEndpoint) -> None:
-        """Follow an endpoint that ended under a request."""
-        task = asyncio.create_task(self._start_again(running))
+        """Replace an endpoint that a request ended, in the background."""
+        task = asyncio.create_task(self._replace_ended(running))
         self.tasks_.add(task)
         task.add_done_callback(self.tasks_.discard)
 
-    async def _start_again(self, running: RunningEndpoint) -> None:
-        """Start another endpoint in place of one that ended by itself."""
+    async def _replace_ended(self, running: RunningEndpoint) -> None:
+        """Remove an endpoint that a request ended, and start another in its place."""
         endpoint = running.endpoint
         await self.end(running, FaultKind.REQUEST_ENDS_ENDPOINTS)
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(REPLACEMENT_DELAY_S)
         self.store.delete("servers", endpoint.endpoint_id)
         await self.add(endpoint.service, endpoint.hall)
 
     def pick(self, target: int) -> RunningEndpoint | None:
         """Return an endpoint that is not leaving and is not the last of its service."""
-        here = [e for e in self.live_ if not e.is_leaving_]
-        if not here:
+        candidates = [e for e in self.live_ if not e.is_leaving_]
+        if not candidates:
             return None
-        chosen = here[target % len(here)]
+        chosen = candidates[target % len(candidates)]
         service = chosen.endpoint.service
-        left = [e for e in here if e.endpoint.service == service]
-        return chosen if len(left) > 1 else None
+        same_service = [e for e in candidates if e.endpoint.service == service]
+        return chosen if len(same_service) > 1 else None
 
     def announce_leaving(self, running: RunningEndpoint, *, listed: bool) -> None:
         """Mark an endpoint as draining in the store, or remove it there."""
@@ -164,19 +166,19 @@
         self.ledger.departures_.append(Departure(endpoint.endpoint_id, now))
 
     async def end(self, running: RunningEndpoint, kind: FaultKind) -> None:
-        """End an endpoint at once; its connections break."""
+        """End an endpoint at once and reset its connections."""
         running.is_leaving_ = True
         if running in self.live_:
             self.live_.remove(running)
         now = asyncio.get_running_loop().time()
-        self.ledger.disturb(running.endpoint.endpoint_id, kind, now, ENDS_LATER)
+        self.ledger.disturb(running.endpoint.endpoint_id, kind, now, NEVER_ENDS_S)
         await running.endpoint.stop()
         if isinstance(running.endpoint, StageStandIn):
             running.endpoint.results_.clear()
         running.link_.reset()
 
     async def stop(self) -> None:
-        """Stop every endpoint, and write what they saw into the ledger."""
+        """Stop every endpoint, and write its records into the ledger."""
         for running in self.all_:
             self._collect(running.endpoint)
             running.proxy_.stop()
@@ -203,5 +205,5 @@
                     arrival.is_refused,
                 )
             )
-        for request_id, how in endpoint.misbehaved_by_request_.items():
-            self.ledger.misbehaved_by_run_[request_id, name] = how.value
+        for request_id, misbehaviour in endpoint.misbehaved_by_request_.items():
+            self.ledger.misbehaved_by_run_[request_id, name] = misbehaviour.value
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_processes.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_processes.py
@@ -1,7 +1,7 @@
 """Run the forwarding entries as processes, and signal them.
 
-Owns the processes and their folder of settings and logs. The soak ends only what it
-started here, by its process id. Relies on `platform/run.py` of the checkout.
+Owns the processes, their settings and their logs. The soak signals only processes
+started here, by process id. Relies on `platform/run.py` of the checkout.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 CALLERS_PORT = 8625
 READY_PORT = 8621
 PEERS_PORT = 7740
-# Held for the whole run at the first address of the block, so that runs beside each
-# other use blocks of their own.
-CLAIM_PORT = 8599
-POLL_S = 0.02
-# Seconds past the grace period before a process that does not end is killed.
+# Port bound at the first address of a block for the whole run, so that concurrent runs
+# use different blocks.
+BLOCK_LOCK_PORT = 8599
+POLL_INTERVAL_S = 0.02
+# Time past the grace period after which a process that still runs is killed.
 GRACE_SLACK_S = 0.2
 SETTINGS = """\
 nodeName = "{name}"
@@ -58,18 +58,18 @@
     def __enter__(self) -> "AddressBlock":
         for number in range(os.getpid(), os.getpid() + 60_000):
             self.prefix_ = f"127.{100 + number // 250 % 100}.{number % 250}"
-            self.claim_ = socket.socket()
+            self.lock_socket_ = socket.socket()
             try:
-                self.claim_.bind((f"{self.prefix_}.1", CLAIM_PORT))
+                self.lock_socket_.bind((f"{self.prefix_}.1", BLOCK_LOCK_PORT))
             except OSError:
-                # Another soak holds the block: the next one is tried.
-                self.claim_.close()
+                # Another soak uses this block: try the next one.
+                self.lock_socket_.close()
                 continue
             return self
         raise RuntimeError("no block of loopback addresses is free")
 
     def __exit__(self, *error: object) -> None:
-        self.claim_.close()
+        self.lock_socket_.close()
 
     def address(self, number: int) -> str:
         """Return one address of the block."""
@@ -77,7 +77,7 @@
 
 
 class EntryProcess:
-    """Hold one entry: its settings, its process and how often it was started."""
+    """Hold one entry: its settings, its process and the number of its starts."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         self.folder = folder
         self.ledger = ledger
         self.process_: subprocess.Popen | None = None
-        self.number_ = 0
+        self.start_count_ = 0
         self.is_ending_ = False
 
     @property
@@ -116,7 +116,7 @@
         return self.process_.pid if self.is_running() else None
 
     def is_running(self) -> bool:
-        """Tell whether the process runs, and note its end once it does not."""
+        """Tell whether the process runs, and record its end once it has ended."""
         if self.process_ is None:
             return False
         status = self.process_.poll()
@@ -150,12 +150,12 @@
             store=self.store,
         )
         path = self.folder / f"{self.name}.toml"
-        changed = path.with_suffix(".new")
-        changed.write_text(text)
-        changed.replace(path)
+        new_path = path.with_suffix(".new")
+        new_path.write_text(text)
+        new_path.replace(path)
 
     def start(self) -> None:
-        """Start the process; its log goes on in the same file."""
+        """Start the process, which appends to the log of earlier starts."""
         environment = {
             **os.environ,
             "LEADFORD_SETTINGS": str(self.folder / f"{self.name}.toml"),
@@ -168,9 +168,9 @@
                 stderr=log,
                 env=environment,
             )
-        self.number_ += 1
+        self.start_count_ += 1
         now = asyncio.get_running_loop().time()
-        self.incarnation_ = Incarnation(self.name, self.number_, now)
+        self.incarnation_ = Incarnation(self.name, self.start_count_, now)
         self.ledger.incarnations_.append(self.incarnation_)
 
     def signal(self, number: signal.Signals) -> bool:
@@ -186,17 +186,17 @@
         return True
 
     async def wait_ended(self, timeout_s: float) -> bool:
-        """Wait for the end of the process; tell whether it came in time."""
+        """Wait for the end of the process; return whether it ended in time."""
         loop = asyncio.get_running_loop()
         until = loop.time() + timeout_s
         while self.is_running():
             if loop.time() >= until:
                 return False
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
     async def stop(self) -> None:
-        """Ask the process to stop, and kill it once the grace period is over."""
+        """Send SIGTERM to the process, and kill it after the grace period."""
         self.signal(signal.SIGTERM)
         if await self.wait_ended(self.bounds.grace_s + GRACE_SLACK_S):
             return
@@ -206,7 +206,7 @@
         await self.wait_ended(self.bounds.grace_s)
 
     def kill(self) -> None:
-        """End the process whatever it does; a paused one too."""
+        """Kill the process, even if it is paused, and wait for its end."""
         self.signal(signal.SIGKILL)
         if self.process_ is not None:
             self.process_.wait()
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_proxy.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_proxy.py
@@ -1,8 +1,8 @@
-"""Stand between two processes on loopback and harm what passes.
+"""Proxy connections between two processes on loopback and inject link faults.
 
 Owns the state of each link and the connections over it; relies on asyncio streams.
-Bytes that are held back are not lost: they pass once the fault ends, as after packets
-that were lost and sent again.
+Bytes that are held back are not lost: they pass once the fault ends, as if lost packets
+were sent again.
 """
 
 import asyncio
@@ -14,40 +14,43 @@
 
 Address = tuple[str, int]
 CHUNK_BYTES = 65_536
-# Seconds between looks whether a link that holds bytes back lets them pass again.
-HELD_STEP_S = 0.02
-# Makes the close of a socket a reset.
-_NO_LINGER = struct.pack("ii", 1, 0)
+# Interval of the checks whether a link still holds bytes back.
+HOLD_POLL_INTERVAL_S = 0.02
+# Value of SO_LINGER with which closing a socket resets the connection.
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Way(Enum):
-    """Name a direction: from who connected to the target, or back."""
+class Direction(Enum):
+    """Name a direction of a link: to the target of the connection, or from it."""
 
     TO = "to"
     FROM = "from"
 
 
 class LinkState:
-    """Hold what is wrong with a link, and the connections over it.
+    """Hold the active faults of a link, and the connections over it.
 
-    Several faults may overlap: each way counts how many hold it. Units: seconds and
-    bytes a second.
+    Faults may overlap, so the faults that hold back bytes are counted by direction.
+    Units: seconds and bytes per second.
     """
 
     def __init__(self) -> None:
         self.delay_s = 0.0
-        self.rate: float | None = None
-        self.holds_by_way_: dict[Way, int] = {Way.TO: 0, Way.FROM: 0}
+        self.bytes_per_s: float | None = None
+        self.hold_counts_by_direction_: dict[Direction, int] = {
+            Direction.TO: 0,
+            Direction.FROM: 0,
+        }
         self.writers_: set[asyncio.StreamWriter] = set()
 
-    async def hold(self, way: Way, count: int) -> None:
-        """Wait as the faults of the link say before bytes pass."""
-        while self.holds_by_way_[way] > 0:
-            await asyncio.sleep(HELD_STEP_S)
+    async def wait_to_pass(self, direction: Direction, byte_count: int) -> None:
+        """Wait before bytes pass for as long as the faults of the link require."""
+        while self.hold_counts_by_direction_[direction] > 0:
+            await asyncio.sleep(HOLD_POLL_INTERVAL_S)
         if self.delay_s > 0.0:
             await asyncio.sleep(self.delay_s)
-        if self.rate is not None:
-            await asyncio.sleep(count / self.rate)
+        if self.bytes_per_s is not None:
+            await asyncio.sleep(byte_count / self.bytes_per_s)
 
     def reset(self) -> None:
         """Reset every connection over the link."""
@@ -59,9 +62,9 @@
     """Reset one connection."""
     sock = writer.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
-        # The socket may be gone already, which is what is wanted.
+        # A socket that is closed already needs no reset.
         with contextlib.suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     writer.transport.abort()
 
 
@@ -69,9 +72,9 @@
 
 
 class FaultProxy:
-    """Pass connections on to a target over a link that may be harmed.
+    """Forward connections to a target over a link that may be impaired.
 
-    `link_of` returns the link of a new connection, by its two addresses.
+    `link_of` returns the link of a new connection for its two addresses.
     """
 
     def __init__(self, *, target: str, link_of: LinkOf) -> None:
@@ -98,15 +101,15 @@
         task = asyncio.current_task()
         self.tasks_.add(task)
         try:
-            await self._pass(reader, writer)
+            await self._forward(reader, writer)
         except (OSError, asyncio.CancelledError):
-            # The end of a connection, or of the soak, is not a fault of the proxy.
+            # Connections break and are cancelled in normal operation of the proxy.
             pass
         finally:
             self.tasks_.discard(task)
             writer.close()
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         near, far = writer.get_extra_info("peername"), writer.get_extra_info("sockname")
@@ -114,25 +117,25 @@
         link.writers_.add(writer)
         try:
             host, _, port = self.target.rpartition(":")
-            # A link that holds what goes to the target holds its connecting too.
-            await link.hold(Way.TO, 0)
+            # A link that holds bytes to the target delays connecting to it too.
+            await link.wait_to_pass(Direction.TO, 0)
             far_reader, far_writer = await asyncio.open_connection(host, int(port))
         except OSError:
-            # Nobody listens at the target: whoever connected learns it by a reset.
+            # The target does not listen: the reset reports this to the client.
             abort(writer)
             link.writers_.discard(writer)
             return
         link.writers_.add(far_writer)
         pumps = [
-            asyncio.ensure_future(_pump(reader, far_writer, link, Way.TO)),
-            asyncio.ensure_future(_pump(far_reader, writer, link, Way.FROM)),
+            asyncio.ensure_future(_pump(reader, far_writer, link, Direction.TO)),
+            asyncio.ensure_future(_pump(far_reader, writer, link, Direction.FROM)),
         ]
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_EXCEPTION)
         finally:
-            await self._end(pumps, link, writer, far_writer)
+            await self._close_connection(pumps, link, writer, far_writer)
 
-    async def _end(
+    async def _close_connection(
         self,
         pumps: list[asyncio.Future[None]],
         link: LinkState,
@@ -155,12 +158,12 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     link: LinkState,
-    way: Way,
+    direction: Direction,
 ) -> None:
-    """Pass bytes one way until their end, which is passed on too."""
+    """Forward bytes in one direction up to the end of the stream, and the end too."""
     while True:
         data = await reader.read(CHUNK_BYTES)
-        await link.hold(way, len(data))
+        await link.wait_to_pass(direction, len(data))
         if not data:
             break
         writer.write(data)
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_scene.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_scene.py
@@ -1,6 +1,6 @@
 """Hold the parts of a running soak: store, endpoints, entries, links, configuration.
 
-Owns their start and end. The injectors change them; the callers send to the entries.
+Owns their start and stop. Injectors change them; callers send to the entries.
 """
 
 import asyncio
@@ -24,15 +24,15 @@
 from leadford_standins.soak.parts._proxy import Address, FaultProxy, LinkState
 from leadford_standins.wire import StoreStandIn
 
-# Seconds between looks whether the soak itself is late, and from which it counts.
-BEAT_S = 0.05
-LATE_S = 0.25
-# Seconds between looks for entries that ended by themselves.
-START_AGAIN_S = 0.5
+# Interval at which the lag of the soak itself is checked, and the lag that counts.
+LAG_CHECK_INTERVAL_S = 0.05
+LAG_THRESHOLD_S = 0.25
+# Interval of the checks for entries that ended by themselves.
+RESTART_INTERVAL_S = 0.5
 
 
 class Builds(Protocol):
-    """Say which program starts an entry."""
+    """Return the program that starts an entry."""
 
     def program(self, *, is_newer: bool) -> Path:
         """Return the program of a build."""
@@ -41,22 +41,22 @@
         """Return the program with which an entry starts."""
 
 
-class PeerStore(StoreStandIn):
-    """List entries at the addresses of the proxies before them."""
+class ProxiedPeerStore(StoreStandIn):
+    """List entries at the addresses of the proxies in front of them."""
 
     def __init__(self) -> None:
         super().__init__()
         self.peers_by_entry: dict[str, str] = {}
 
     def put(self, kind: str, name: str, spec: dict) -> None:
-        """Write an object; an entry is found through its proxy."""
+        """Write an object, with the address of the proxy if it lists an entry."""
         if kind == PlatformObjects.entries_kind and name in self.peers_by_entry:
             spec = {**spec, "peers": self.peers_by_entry[name]}
         super().put(kind, name, spec)
 
 
 class SoakScene:
-    """Hold the parts; use it with `async with`."""
+    """Hold the parts; an async context manager that starts and stops them."""
 
     def __init__(
         self,
@@ -81,8 +81,8 @@
     async def __aenter__(self) -> "SoakScene":
         self.block_ = AddressBlock()
         self.block_.__enter__()
-        self.store_ = PeerStore()
-        self.restoring_ = asyncio.Lock()
+        self.store_ = ProxiedPeerStore()
+        self.restore_lock_ = asyncio.Lock()
         halls = [f"hall-{number}" for number in range(self.options.endpoints)]
         self.config_ = ConfigWriter(random=self.random)
         self.endpoints_ = EndpointPool(
@@ -101,9 +101,9 @@
         for number in range(self.options.entries):
             await self._add_entry(number, halls, store_address)
         self.ends_at_ = float("inf")
-        self.watches_ = [
+        self.background_tasks_ = [
             asyncio.create_task(self._watch_lag()),
-            asyncio.create_task(self._start_those_that_ended()),
+            asyncio.create_task(self._restart_ended_entries()),
         ]
         return self
 
@@ -134,9 +134,9 @@
         self.entries_.append(entry)
 
     async def __aexit__(self, *error: object) -> None:
-        for watch in self.watches_:
-            watch.cancel()
-        self.ledger.unowned_ = self.store_links_.unknown_
+        for task in self.background_tasks_:
+            task.cancel()
+        self.ledger.unowned_ = self.store_links_.unknown_count_
         for entry in self.entries_:
             entry.kill()
         await self.endpoints_.stop()
@@ -149,32 +149,32 @@
         return {e.name: e.pid for e in self.entries_ if e.pid is not None}
 
     def entry(self, target: int) -> EntryProcess:
-        """Return an entry by a number that was drawn."""
+        """Return the entry for a drawn target number."""
         return self.entries_[target % len(self.entries_)]
 
     def write_config(self) -> None:
-        """Write the configuration to the store, whose answer acknowledges it."""
+        """Write the configuration to the store and record it as acknowledged."""
         self.store_.put("config", "main", self._document())
-        self.config_.acknowledged(asyncio.get_running_loop().time())
+        self.config_.record_version(asyncio.get_running_loop().time())
 
     def _document(self) -> dict:
         return copy.deepcopy(self.config_.document_)
 
-    async def _start_those_that_ended(self) -> None:
-        """Start entries again that ended by themselves; for the checks they ran on."""
+    async def _restart_ended_entries(self) -> None:
+        """Restart entries that ended by themselves; for the checks they ran on."""
         while True:
-            await asyncio.sleep(START_AGAIN_S)
+            await asyncio.sleep(RESTART_INTERVAL_S)
             for entry in self.entries_:
                 if not entry.is_ending_ and not entry.is_running():
                     entry.start()
 
     async def _watch_lag(self) -> None:
-        """Note when this process was late, as its callers and endpoints were then."""
+        """Record when this process lags, since its callers and endpoints lag too."""
         loop = asyncio.get_running_loop()
         while True:
-            began = loop.time()
-            await asyncio.sleep(BEAT_S)
-            late_s = loop.time() - began - BEAT_S
+            started_at = loop.time()
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
+            late_s = loop.time() - started_at - LAG_CHECK_INTERVAL_S
             self.ledger.lag_most_s_ = max(self.ledger.lag_most_s_, late_s)
-            if late_s > LATE_S:
-                self.ledger.disturb(EVERYTHING, None, began, loop.time())
+            if late_s > LAG_THRESHOLD_S:
+                self.ledger.disturb(EVERYTHING, None, started_at, loop.time())
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/tests/test_config.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The operator of a soak changes the configuration and knows what each version does."""
+"""Changes of the configuration give versions that return the right verdicts."""
 
 from random import Random
 
@@ -7,13 +7,13 @@
 
 def writer_of(seed=1):
     writer = ConfigWriter(random=Random(seed))
-    writer.acknowledged(0.0)
+    writer.record_version(0.0)
     return writer
 
 
 def write(writer, at):
     writer.next_version()
-    writer.acknowledged(at)
+    writer.record_version(at)
     return writer.versions_[-1]
 
 
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/tests/test_owners.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Connections on loopback are told apart by the process that opened them."""
+"""Each connection on loopback has the link of the process that opened it."""
 
 import asyncio
 import os
@@ -33,10 +33,10 @@
 def test_a_connection_has_the_link_of_the_process_that_opened_it():
     links, link = play({"entry-0": os.getppid(), "entry-1": os.getpid()})
     assert link is links.link("entry-1")
-    assert links.unknown_ == 0
+    assert links.unknown_count_ == 0
 
 
 def test_a_connection_of_no_entry_has_a_link_of_its_own():
     links, link = play({"entry-0": os.getppid()})
-    assert link is links.nobody_
-    assert links.unknown_ == 1
+    assert link is links.unknown_link_
+    assert links.unknown_count_ == 1
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/tests/test_proxy.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/tests/test_proxy.py
@@ -1,10 +1,10 @@
-"""The proxy passes bytes on, and harms a link as it is told."""
+"""The proxy forwards bytes, and delays, holds or resets them as its link says."""
 
 import asyncio
 
 import pytest
 
-from leadford_standins.soak.parts._proxy import FaultProxy, LinkState, Way
+from leadford_standins.soak.parts._proxy import Direction, FaultProxy, LinkState
 
 
 async def echo(reader, writer):
@@ -54,13 +54,13 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("way", Way)
-def test_a_way_that_is_cut_holds_bytes_until_it_is_open_again(way):
+@pytest.mark.parametrize("direction", Direction)
+def test_a_way_that_is_cut_holds_bytes_until_it_is_open_again(direction):
     async def scenario(link, reader, writer):
-        link.holds_by_way_[way] += 1
+        link.hold_counts_by_direction_[direction] += 1
         writer.write(b"hello")
         assert await is_held(reader)
-        link.holds_by_way_[way] -= 1
+        link.hold_counts_by_direction_[direction] -= 1
         assert await reader.readexactly(5) == b"hello"
 
     play(scenario)
@@ -69,7 +69,7 @@
 def test_a_narrow_link_takes_its_time():
     async def scenario(link, reader, writer):
         loop = asyncio.get_running_loop()
-        link.rate = 50_000.0
+        link.bytes_per_s = 50_000.0
         began = loop.time()
         writer.write(b"x" * 10_000)
         await reader.readexactly(10_000)
