--- a/packages/leadford-standins/src/leadford_standins/soak/__init__.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/__init__.py
@@ -1,7 +1,8 @@
-"""Run the forwarding entries as processes under random faults, and check the promises.
+"""Run forwarding entries as processes under random faults, and check their guarantees.
 
-The store, the endpoints and the callers run inside the soak; faults come from outside
-the entries, by proxies on loopback and by signals. Everything is drawn from one seed.
+The store, the endpoints and the callers run inside the soak process; faults reach the
+entries from outside, by proxies on loopback and by signals. One seed determines all
+random draws.
 """
 
 from leadford_standins.soak._base import SoakOptions, UpgradeWay
--- a/packages/leadford-standins/src/leadford_standins/soak/_base.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/_base.py
@@ -1,6 +1,6 @@
-"""Name what a soak injects, and hold its options and its plan.
+"""Define the kinds of fault of a soak, its options and its plan.
 
-Owns the kinds of fault and the bounds that the entries are given; relies on nothing.
+Owns the bounds that the entries are configured with and checked against.
 """
 
 from enum import Enum
@@ -13,12 +13,13 @@
 
 STORE = "store"
 EVERYTHING = "everything"
-# Requests go wrong at some endpoint; the check of a single request knows which did.
+# Scope of a fault that affects single requests at an endpoint; checks of a request know
+# whether it was affected.
 MISBEHAVIOUR = "misbehaviour"
 
 
 class FaultKind(Enum):
-    """Name one kind of fault or of change."""
+    """Name one kind of fault or configuration change."""
 
     STORE_LINK_DELAYED = "store-link-delayed"
     STORE_LINK_RESET = "store-link-reset"
@@ -60,10 +61,10 @@
 
 
 class UpgradeWay(Enum):
-    """Say how entries of an older build give way to this one.
+    """Say how this build replaces the older build of the entries.
 
-    ONE_BY_ONE: all start as the older build and are replaced in turn. HALF: half of
-    them stay the older one. AND_BACK: all are replaced, and then put back.
+    ONE_BY_ONE: all start with the older build and are replaced in turn. HALF: half of
+    them keep the older build. AND_BACK: all are replaced, and then changed back.
     """
 
     ONE_BY_ONE = "one-by-one"
@@ -72,9 +73,9 @@
 
 
 class SoakBounds(msgspec.Struct, frozen=True):
-    """Hold the bounds that the entries are given and the checks hold them to.
+    """Hold the bounds that the entries are configured with and the checks enforce.
 
-    Units: seconds, except that ratio and slack count requests.
+    Units: seconds; the retry ratio and the retry slack count requests.
     """
 
     contact_s: float = 4.0
@@ -88,14 +89,14 @@
 
 
 class SoakOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what a soak is asked for.
-
-    A part of the requests, `long_part`, works for up to `long_work_s`. `only` names the
-    kinds to draw, all when empty; `program` is the file that starts an entry, that of
-    this checkout when empty. `older` is a commit whose build runs beside this one, none
-    when empty, and `upgrade` how it gives way. Units: requests_per_s counts all callers
-    together, faults_per_s injected faults, ending_per_s requests that end whoever runs
-    them, and restores_per_s how often the store comes back from a copy.
+    """Hold the options of a soak.
+
+    The fraction `long_part` of the requests works for up to `long_work_s`. `only` names
+    the kinds to draw, all if empty; `program` is the file that starts an entry, that of
+    this checkout if empty. `older` is a commit whose build runs beside this one, none
+    if empty, and `upgrade` says how it is replaced. Units: requests_per_s counts the
+    requests of all callers, faults_per_s injected faults, ending_per_s requests that
+    end every endpoint which runs them, and restores_per_s restores of the store.
     """
 
     seed: int
@@ -117,9 +118,10 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Hold one fault or change: when, what, at whom, for how long, how hard.
+    """Hold one fault or change: its time, kind, target, duration and amount.
 
-    `target` is a number that the injector takes modulo what there is. Units: seconds.
+    The injector takes `target` modulo the number of candidates. Units: seconds; the
+    unit of the amount depends on the kind.
     """
 
     at_s: float
@@ -130,7 +132,7 @@
 
 
 class RepeatedRequest(msgspec.Struct, frozen=True):
-    """Hold one request that comes again and again, at any entry.
+    """Hold one request that is sent repeatedly, to random entries.
 
     Units: seconds.
     """
@@ -142,7 +144,7 @@
 
 
 class SoakPlan(msgspec.Struct, frozen=True):
-    """Hold all that a soak will inject, in order of time."""
+    """Hold the options of a soak and all its faults, in order of time."""
 
     options: SoakOptions
     faults: tuple[Fault, ...]
--- a/packages/leadford-standins/src/leadford_standins/soak/_builds.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/_builds.py
@@ -1,7 +1,7 @@
 """Provide the programs of the two builds that a soak runs side by side.
 
-The older one is taken from the history of this checkout into a folder of its own.
-Relies on git, and on the libraries that are installed here.
+The sources of the older build are extracted from the git history of this checkout into
+a folder of their own. Relies on git, and on the libraries that are installed here.
 """
 
 import subprocess
@@ -14,13 +14,13 @@
 from leadford_standins.soak._base import SoakOptions, UpgradeWay
 from leadford_standins.soak.parts import PROGRAM
 
-# The program that starts an entry, from the root of a checkout.
+# Path of the program that starts an entry, relative to the root of a checkout.
 RELATIVE_PROGRAM = PROGRAM.relative_to(PROGRAM.parents[1])
-ROOT = PROGRAM.parents[1]
+CHECKOUT_ROOT = PROGRAM.parents[1]
 
 
 class SoakBuilds(msgspec.Struct, frozen=True):
-    """Hold the file that starts an entry of each build."""
+    """Hold the program that starts an entry of each build."""
 
     newer: Path
     older: Path
@@ -38,9 +38,9 @@
 
 
 def provide_builds(options: SoakOptions, folder: Path) -> SoakBuilds:
-    """Return the programs of a soak; the older one is put in a folder.
+    """Return the programs of a soak, with the older build in a folder.
 
-    Errors: raises CalledProcessError when the history does not have the commit.
+    Errors: raises CalledProcessError if the history does not contain the commit.
     """
     newer = Path(options.program) if options.program else PROGRAM
     older = _check_out(options.older, folder) if options.older else newer
@@ -48,7 +48,7 @@
 
 
 def _check_out(commit: str, folder: Path) -> Path:
-    """Write the sources of a commit, unless they are there, and return its program."""
+    """Extract the sources of a commit unless they exist, and return its program."""
     checkout = folder.resolve() / f"build-{commit}"
     if not checkout.exists():
         folder.mkdir(parents=True, exist_ok=True)
@@ -59,11 +59,19 @@
 
 
 def _extract(commit: str, folder: Path) -> None:
-    """Write the sources of a commit to a folder of their own."""
+    """Extract the sources of a commit into a folder."""
     archive = folder / "sources.tar"
     paths = ["platform", "packages"]
     subprocess.run(
-        ["git", "-C", str(ROOT), "archive", f"--output={archive}", commit, *paths],
+        [
+            "git",
+            "-C",
+            str(CHECKOUT_ROOT),
+            "archive",
+            f"--output={archive}",
+            commit,
+            *paths,
+        ],
         check=True,
     )
     with tarfile.open(archive) as sources:
@@ -71,7 +79,7 @@
 
 
 def _publish(sources: Path, checkout: Path) -> None:
-    """Give whole sources their name; a soak beside this one may have been faster."""
+    """Move complete sources to their path, unless a concurrent soak did so first."""
     try:
         sources.rename(checkout)
     except OSError:
--- a/packages/leadford-standins/src/leadford_standins/soak/_cases.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/_cases.py
@@ -1,7 +1,7 @@
-"""Keep the seeds of soaks that once failed, each with its cause.
+"""Keep the options of soaks that failed, each with the cause of the failure.
 
-A case names the arguments it failed with. Seeds mean other plans once the tables of
-`_plan` change, so the kinds of fault that matter are named, and drawn often.
+A change of the tables in `_plan` changes the plan of a seed, so cases name the kinds of
+fault that matter and draw them often.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 
 
 class SoakCase(msgspec.Struct, frozen=True):
-    """Hold one soak that failed, and why it did."""
+    """Hold the options of a soak that failed, and the cause."""
 
     options: SoakOptions
     cause: str
--- a/packages/leadford-standins/src/leadford_standins/soak/_ledger.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/_ledger.py
@@ -1,7 +1,7 @@
-"""Keep what callers, the store and endpoints saw, and which faults were in force.
+"""Record what callers, the store and endpoints saw, and which faults were active.
 
-Owns all records of a run; the checks read nothing else. Times are those of the event
-loop of the soak.
+Owns all records of a run, for the checks to read. Times are those of the event loop of
+the soak.
 """
 
 from enum import Enum
@@ -25,8 +25,8 @@
 class Sent(msgspec.Struct):
     """Hold one request as its caller saw it.
 
-    `incarnation` counts the starts of the entry. `spoiled` says what was read that is
-    no answer.
+    `incarnation` counts the starts of the entry. `detail` names the error that cut the
+    answer, or says that the caller gives up.
     """
 
     request_id: str
@@ -60,7 +60,7 @@
 
 
 class Disturbance(msgspec.Struct):
-    """Hold one fault in force at an entry, an endpoint, the store or everywhere."""
+    """Hold one active fault of an entry, an endpoint, the store or everything."""
 
     scope: str
     kind: FaultKind | None
@@ -70,7 +70,7 @@
 
 
 class Incarnation(msgspec.Struct):
-    """Hold one run of an entry's process."""
+    """Hold one process of an entry, from its start to its end."""
 
     entry: str
     number: int
@@ -82,14 +82,14 @@
 
 
 class Departure(msgspec.Struct, frozen=True):
-    """Hold that the store acknowledged an endpoint as draining or gone."""
+    """Hold when the store acknowledged an endpoint as draining or removed."""
 
     endpoint: str
     at_s: float
 
 
 class ReadyAnswer(msgspec.Struct, frozen=True):
-    """Hold what an entry said when asked whether it takes new callers."""
+    """Hold the answer of an entry to a readiness check."""
 
     entry: str
     incarnation: int
@@ -114,7 +114,7 @@
         self.departures_: list[Departure] = []
         self.injected_: list[tuple[float, str, str]] = []
         self.endpoints_: set[str] = set()
-        # Bodies of requests that end whoever runs them.
+        # Bodies of requests that end every endpoint which runs them.
         self.ending_bodies_: set[bytes] = set()
         self.errors_: list[str] = []
         self.unowned_ = 0
@@ -129,10 +129,10 @@
         *,
         is_planned: bool = False,
     ) -> Disturbance:
-        """Note a fault; its end may be corrected later in what is returned."""
-        noted = Disturbance(scope, kind, from_s, until_s, is_planned)
-        self.disturbances_.append(noted)
-        return noted
+        """Record a fault and return its record, whose end may be corrected later."""
+        disturbance = Disturbance(scope, kind, from_s, until_s, is_planned)
+        self.disturbances_.append(disturbance)
+        return disturbance
 
     def is_calm(
         self,
@@ -143,10 +143,10 @@
         planned: bool = True,
         lag: bool = True,
     ) -> bool:
-        """Tell whether no fault touched any of the scopes within a time.
+        """Tell whether no fault affected any of the scopes within a time.
 
-        `planned` says whether planned stops count as faults, and `lag` whether times
-        count in which the soak itself was late.
+        `planned` says whether planned stops count as faults, and `lag` whether lag of
+        the soak itself does.
         """
         for fault in self.disturbances_:
             if fault.scope not in scopes and fault.scope != EVERYTHING:
@@ -164,7 +164,7 @@
         return self.runs_by_id_.get(request_id, [])
 
     def incarnation(self, entry: str, number: int) -> Incarnation | None:
-        """Return one run of an entry's process."""
+        """Return the record of one process of an entry."""
         for incarnation in self.incarnations_:
             if incarnation.entry == entry and incarnation.number == number:
                 return incarnation
--- a/packages/leadford-standins/src/leadford_standins/soak/_report.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/_report.py
@@ -1,7 +1,7 @@
-"""Say what a soak did and found: counts of its traffic and faults, and what broke.
+"""Report on a soak: counts of its traffic and faults, and the broken promises.
 
-Made once a run is over, from the evidence that the checks have judged. The report is
-what is printed and kept beside the logs of a run.
+The report is made after a run from the evidence that the checks have judged. It is
+printed and stored with the logs of the run.
 """
 
 from collections import Counter
@@ -32,11 +32,11 @@
 
     @property
     def is_good(self) -> bool:
-        """Tell whether every promise was kept and the soak itself did not fail."""
+        """Tell whether no promise was broken and the soak itself had no error."""
         return not self.broken and not self.errors
 
     def text(self) -> str:
-        """Return the report for a reader."""
+        """Return the report as text."""
         lines = [
             f"soak seed {self.seed}: {self.seconds:.0f} s, {self.entries} entries, "
             f"{self.requests} requests, {self.in_touch} of them "
@@ -44,8 +44,8 @@
             f"{sum(self.faults_by_kind.values())} faults; "
             f"the soak was late by {self.lag_most_s:.2f} s at most; "
             f"{self.unowned} connections to the store of no known entry",
-            "faults: " + _counts(self.faults_by_kind),
-            "requests: " + _counts(self.requests_by_outcome),
+            "faults: " + _format_counts(self.faults_by_kind),
+            "requests: " + _format_counts(self.requests_by_outcome),
         ]
         for item in self.broken:
             lines.append(
@@ -57,7 +57,7 @@
         return "\n".join(lines)
 
 
-def _counts(count_by_name: dict[str, int]) -> str:
+def _format_counts(count_by_name: dict[str, int]) -> str:
     return ", ".join(f"{name} {count}" for name, count in sorted(count_by_name.items()))
 
 
--- a/packages/leadford-standins/src/leadford_standins/soak/_runner.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/_runner.py
@@ -1,7 +1,8 @@
-"""Run one soak: entries, callers and faults at once, then the checks.
+"""Run one soak: entries, callers and faults concurrently, then the checks.
 
-Owns the order of a run; its randomness comes from the seed of the options. Traffic,
-keys and the plan have a source each, so one does not shift another.
+Owns the order of a run; all randomness comes from the seed of the options. The plan,
+the scene and the callers have separate random sources, so their draws do not affect
+each other.
 """
 
 import asyncio
@@ -20,13 +21,13 @@
 from leadford_standins.soak.faults import draw_plan, inject
 from leadford_standins.soak.parts import Callers, SoakScene, watch_ready
 
-# Seconds for the entries to answer for the first time.
-READY_S = 20.0
-STEP_S = 0.05
+# Time for the entries to accept their first connections.
+READY_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 
 
 def run_soak(options: SoakOptions, folder: Path, *, timed: bool = True) -> SoakReport:
-    """Run a soak in a folder, which keeps its logs, and return its report."""
+    """Run a soak with its logs in a folder, and return its report."""
     folder.mkdir(parents=True, exist_ok=True)
     random = Random(options.seed)
     plan = draw_plan(options, Random(random.random()))
@@ -39,15 +40,15 @@
         builds=provide_builds(options, folder.parent),
     )
     callers_random = Random(random.random())
-    asyncio.run(_run(scene, plan, callers_random))
+    asyncio.run(_run_scene(scene, plan, callers_random))
     evidence = Evidence(ledger, scene.config_.versions_, options.bounds)
-    found = run_checks(evidence, timed=timed)
-    report = make_report(plan, evidence, found, folder)
-    _keep(folder, plan, ledger, report)
+    broken = run_checks(evidence, timed=timed)
+    report = make_report(plan, evidence, broken, folder)
+    _write_records(folder, plan, ledger, report)
     return report
 
 
-async def _run(scene: SoakScene, plan: SoakPlan, random: Random) -> None:
+async def _run_scene(scene: SoakScene, plan: SoakPlan, random: Random) -> None:
     async with scene:
         await _wait_ready(scene)
         callers = Callers(
@@ -59,42 +60,44 @@
         )
         scene.on_stop_ = callers.use_reserved_connections
         scene.repeat_ = callers.repeat
-        watching = asyncio.create_task(watch_ready(scene.entries_, scene.ledger))
+        ready_task = asyncio.create_task(watch_ready(scene.entries_, scene.ledger))
         loop = asyncio.get_running_loop()
         scene.ends_at_ = loop.time() + scene.options.seconds
-        injecting = asyncio.create_task(inject(scene, plan.faults))
+        inject_task = asyncio.create_task(inject(scene, plan.faults))
         await callers.run(scene.options.seconds)
-        await injecting
+        await inject_task
         for entry in scene.entries_:
             entry.is_ending_ = True
             callers.use_reserved_connections(entry)
         await asyncio.gather(*[entry.stop() for entry in scene.entries_])
         await callers.finish()
-        watching.cancel()
+        ready_task.cancel()
 
 
 async def _wait_ready(scene: SoakScene) -> None:
     """Wait until every entry listens for callers."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + READY_S
+    deadline = loop.time() + READY_TIMEOUT_S
     for entry in scene.entries_:
         while True:
             try:
                 _, writer = await asyncio.open_connection(*entry.callers)
             except OSError:
-                if loop.time() > until:
+                if loop.time() > deadline:
                     raise
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             writer.close()
             break
     now = loop.time()
     for entry in scene.entries_:
-        scene.ledger.disturb(entry.name, None, now - READY_S, now)
+        scene.ledger.disturb(entry.name, None, now - READY_TIMEOUT_S, now)
 
 
-def _keep(folder: Path, plan: SoakPlan, ledger: Ledger, report: SoakReport) -> None:
-    """Write what a reader needs to trace a failure."""
+def _write_records(
+    folder: Path, plan: SoakPlan, ledger: Ledger, report: SoakReport
+) -> None:
+    """Write the report, the plan and the records, with which to trace a failure."""
     (folder / "report.txt").write_text(report.text() + "\n")
     (folder / "report.json").write_bytes(msgspec.json.encode(report))
     (folder / "plan.json").write_bytes(msgspec.json.encode(plan))
@@ -114,7 +117,7 @@
     (folder / "ledger.json").write_bytes(encoded)
 
 
-def remove(folder: Path) -> None:
-    """Remove the folder of a run that nobody wants to keep."""
+def remove_folder(folder: Path) -> None:
+    """Remove the folder of a run."""
     if os.path.isdir(folder):
         shutil.rmtree(folder)
--- a/packages/leadford-standins/src/leadford_standins/soak/tests/test_builds.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/tests/test_builds.py
@@ -1,4 +1,4 @@
-"""A soak finds the program of each build."""
+"""A soak provides the program of each build."""
 
 import subprocess
 from concurrent.futures import ThreadPoolExecutor
@@ -6,7 +6,7 @@
 import pytest
 
 from leadford_standins.soak import SoakOptions, UpgradeWay
-from leadford_standins.soak._builds import ROOT, SoakBuilds, provide_builds
+from leadford_standins.soak._builds import CHECKOUT_ROOT, SoakBuilds, provide_builds
 
 OLDER, NEWER = "older", "newer"
 
@@ -29,9 +29,11 @@
 
 
 def head_commit():
-    """Return the present commit."""
+    """Return the commit that is checked out."""
     found = subprocess.run(
-        ["git", "-C", str(ROOT), "rev-parse", "HEAD"], capture_output=True, text=True
+        ["git", "-C", str(CHECKOUT_ROOT), "rev-parse", "HEAD"],
+        capture_output=True,
+        text=True,
     )
     if found.returncode != 0:
         pytest.skip("the sources came without their history")
@@ -44,7 +46,7 @@
     assert builds.older.is_relative_to(tmp_path)
     assert builds.older.exists()
     assert not builds.newer.is_relative_to(tmp_path)
-    # A second soak finds it there.
+    # A second soak reuses the sources.
     assert provide_builds(options, tmp_path) == builds
 
 
--- a/packages/leadford-standins/src/leadford_standins/soak/tests/test_soak.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/tests/test_soak.py
@@ -1,17 +1,17 @@
-"""Short soaks of real processes break no promise that does not hang on the clock."""
+"""Short soaks of real processes break no promise of the untimed checks."""
 
 import asyncio
 import sys
 import tomllib
 
 from leadford_standins.soak import SoakOptions, UpgradeWay
-from leadford_standins.soak._builds import ROOT
+from leadford_standins.soak._builds import CHECKOUT_ROOT
 from leadford_standins.soak._cases import cases
 
-# Seconds that a soak may take, its start and the planned stop at its end included.
-SOAK_S = 150.0
-# The kept cases that are replayed each time; all are by `leadford-standins soak-cases`.
-REPLAYED = (*cases[:2], cases[-1])
+# Time limit of a soak, including its start and the planned stop at its end.
+SOAK_TIMEOUT_S = 150.0
+# Cases replayed in each test run; `leadford-standins soak-cases` replays all.
+REPLAYED_CASES = (*cases[:2], cases[-1])
 
 
 async def run_soak(options, folder):
@@ -36,18 +36,20 @@
         stderr=asyncio.subprocess.STDOUT,
     )
     try:
-        output, _ = await asyncio.wait_for(process.communicate(), SOAK_S)
+        output, _ = await asyncio.wait_for(process.communicate(), SOAK_TIMEOUT_S)
     except TimeoutError:
-        # The soak ends what it started.
+        # The soak stops the processes it started.
         process.terminate()
         await process.wait()
         raise
     return process.returncode, output.decode()
 
 
-def production():
+def production_commit():
     """Return the commit that runs when an upgrade begins."""
-    return tomllib.loads((ROOT / "deploy/system.toml").read_text())["production"]
+    return tomllib.loads((CHECKOUT_ROOT / "deploy/system.toml").read_text())[
+        "production"
+    ]
 
 
 def test_a_soak_of_two_builds_breaks_no_promise(tmp_path):
@@ -56,7 +58,7 @@
         seconds=24.0,
         entries=4,
         ending_per_s=0.1,
-        older=production(),
+        older=production_commit(),
         upgrade=UpgradeWay.AND_BACK,
     )
     status, output = asyncio.run(run_soak(options, tmp_path))
@@ -74,7 +76,7 @@
 def test_short_soaks_break_no_promise(tmp_path):
     async def main():
         return await asyncio.gather(
-            *[run_soak(case.options, tmp_path) for case in REPLAYED]
+            *[run_soak(case.options, tmp_path) for case in REPLAYED_CASES]
         )
 
     for status, output in asyncio.run(main()):
