--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_links.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_links.py
@@ -1,6 +1,6 @@
 """Impair the links from entries to the store, to peers and to endpoints.
 
-Each kind of fault sets the state of a link in the loopback proxy, and resets it when
+Each kind of fault sets the state of a link in the loopback proxy, and restores it when
 the fault ends. The target of the fault, drawn with the plan, selects the link.
 """
 
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_processes.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_processes.py
@@ -13,7 +13,7 @@
 from leadford_standins.soak.parts import EntryProcess, SoakScene
 
 K = FaultKind
-# Retry slack of the changed settings file; the checks use the larger, default one.
+# Retry slack of the changed settings file; the checks use the larger, unchanged one.
 CHANGED_RETRY_SLACK = 15.0
 
 
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_ready.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_ready.py
@@ -1,6 +1,6 @@
 """Check the readiness of each entry at intervals, as the platform does.
 
-Records each answer in the ledger; relies on the readiness endpoint of the entries.
+Records each answer in the ledger; relies on the readiness path of the entries.
 """
 
 import asyncio
