--- a/packages/leadford-standins/src/leadford_standins/wire/__init__.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/__init__.py
@@ -1,6 +1,7 @@
-"""Small stand-ins of the users' platform: its store and its three kinds of endpoint.
+"""Stand in for the users' platform: its store and its three kinds of endpoint.
 
-They speak the published wire, keep a ledger of what ran, and fail as they are told.
+The stand-ins implement the platform's published protocol, record which requests ran,
+and inject the faults that a test configures.
 """
 
 from leadford_standins.wire._calm import run_calm
--- a/packages/leadford-standins/src/leadford_standins/wire/_calm.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_calm.py
@@ -1,7 +1,7 @@
-"""Show a calm stretch on the platform's wire, from callers to batched stages.
+"""Run a load without faults over the platform's protocol, from callers to stages.
 
-A part of the demonstration: nothing fails, so every answer must be 200 and none
-doubled.
+This is a part of the demonstration: nothing fails, so every answer must have status 200
+and no request may run more than once.
 """
 
 import asyncio
@@ -11,38 +11,40 @@
 from leadford_standins.wire._deployment import Deployment
 
 ROUTES = ("safe", "unsafe", "resumed", "once")
-# Requests a second, seconds and entries; choices of the demonstration.
 REQUESTS_PER_S = 20.0
 DURATION_S = 10.0
-ENTRIES = 2
+ENTRY_COUNT = 2
 
 
 def run_calm(*, duration_s: float = DURATION_S, seed: int = 1) -> int:
-    """Serve callers for a while; return how many promises were broken."""
+    """Serve callers; return the number of repeated runs and failed requests.
+
+    Units: duration_s in seconds.
+    """
     return asyncio.run(_run(duration_s, Random(seed)))
 
 
 async def _run(duration_s: float, random: Random) -> int:
-    async with Deployment(entries=ENTRIES) as deployment:
+    async with Deployment(entries=ENTRY_COUNT) as deployment:
         statuses: Counter[tuple[str, int]] = Counter()
-        sending = []
+        tasks = []
         total = int(duration_s * REQUESTS_PER_S)
         for number in range(total):
             route = random.choice(ROUTES)
-            entry = random.randrange(ENTRIES)
-            sending.append(
+            entry = random.randrange(ENTRY_COUNT)
+            tasks.append(
                 asyncio.create_task(_send(deployment, route, number, entry, statuses))
             )
             await asyncio.sleep(random.expovariate(REQUESTS_PER_S))
-        await asyncio.gather(*sending)
-        doubled = _doubled(deployment)
-        calls = [size for stage in deployment.stage for size in stage.calls_]
-    print(f"\nplatform: {total} requests through {ENTRIES} entries on the wire")
+        await asyncio.gather(*tasks)
+        repeated = _count_repeated_runs(deployment)
+        sizes = [size for stage in deployment.stage for size in stage.calls_]
+    print(f"\nplatform: {total} requests through {ENTRY_COUNT} entries on the wire")
     for (route, status), count in sorted(statuses.items()):
         print(f"{route:<12} {status:>6} {count:>6}")
-    print(f"pieces a call: {sum(calls) / max(1, len(calls)):.1f}; doubled: {doubled}")
+    print(f"pieces a call: {sum(sizes) / max(1, len(sizes)):.1f}; doubled: {repeated}")
     failed = sum(count for (_, status), count in statuses.items() if status != 200)
-    return doubled + failed
+    return repeated + failed
 
 
 async def _send(
@@ -58,8 +60,8 @@
     statuses[route, answer.code] += 1
 
 
-def _doubled(deployment: Deployment) -> int:
-    """Return how many requests ran more than once."""
+def _count_repeated_runs(deployment: Deployment) -> int:
+    """Return the number of requests that ran more than once."""
     runs = Counter(
         run.request_id
         for endpoint in [*deployment.plain, *deployment.engines]
--- a/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
@@ -1,7 +1,7 @@
-"""Let entries of a fleet follow the stand-in of the store on a simulated clock.
+"""Run a fleet of entries that follow the stand-in of the store on a simulated clock.
 
-The entries run the real followers, relays and owners of the listing; calls to the store
-and messages between entries pass without sockets, after a time that is set here.
+The entries run the real followers, relays and holders of the listing. Calls to the
+store and messages between entries use no sockets and take the delays set here.
 """
 
 import asyncio
@@ -28,10 +28,9 @@
 from leadford_standins.wire._store import StoreCopy, StoreFault, StoreStandIn
 
 ENDPOINTS_KIND = "servers"
-# Seconds that an answer of the store, and a message, need.
-ANSWER_S = 0.01
-MESSAGE_S = 0.002
-HEARTBEAT_S = 0.2
+ANSWER_DELAY_S = 0.01
+MESSAGE_DELAY_S = 0.002
+HEARTBEAT_INTERVAL_S = 0.2
 BOUNDS = ForwardBounds(drain_s=3.0, config_s=3.0, resync_s=4.0)
 
 
@@ -52,9 +51,9 @@
         first_byte_timeout_s: float = 1.5,
         **fields: object,
     ) -> Result:
-        """Return what the store answers now, or once the watch is over."""
+        """Return the store's answer; a watch is answered on a change or on timeout."""
         self.calls_ += 1
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(ANSWER_DELAY_S)
         status, page = await self._answer(path, wait_s)
         has_era = status != NO_ANSWER and self.store.era_ is not None
         headers = {"Store-Era": str(self.store.era_)} if has_era else {}
@@ -77,20 +76,20 @@
     async def _watch(self, kind: str, revision: int, wait_s: float) -> tuple[int, dict]:
         store = self.store
         now = asyncio.get_running_loop().time
-        until = now() + wait_s
+        deadline = now() + wait_s
         while True:
             if store.fault is StoreFault.RESET:
                 return NO_ANSWER, {}
             events = store.events_after(kind, revision)
             if events is None:
                 return 410, {}
-            if events or now() >= until:
+            if events or now() >= deadline:
                 return 200, {"events": events, "at": store.revision_}
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_DELAY_S)
 
 
 class SimulatedEntry:
-    """Follow the store, or hear of it from the entries that do."""
+    """Follow the store, or receive its changes from the entries that follow it."""
 
     def __init__(
         self, number: int, fleet: "SimulatedFleet", *, version: int = PROTOCOL_VERSION
@@ -135,18 +134,18 @@
             watch_s=lambda: 1.8,
         )
 
-    async def beat(self, random: Random) -> None:
-        """Tell all peers what the store confirmed, in heartbeats."""
+    async def send_heartbeats(self, random: Random) -> None:
+        """Send the store's confirmations to all peers at each heartbeat."""
         while True:
-            told = self.relays.confirmations()
-            if told is not None:
+            confirmed = self.relays.confirmations()
+            if confirmed is not None:
                 for peer in self.peers_by_id.values():
-                    peer.send(told)
-            await asyncio.sleep(HEARTBEAT_S * random.uniform(0.9, 1.1))
+                    peer.send(confirmed)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * random.uniform(0.9, 1.1))
 
 
 class SimulatedLink:
-    """Carry messages from one entry to another."""
+    """Deliver messages from one entry to another."""
 
     def __init__(self, sender: SimulatedEntry, receiver: SimulatedEntry) -> None:
         self.info = SimpleNamespace(
@@ -156,12 +155,12 @@
         self.receiver = receiver
 
     def send(self, message: Message) -> bool:
-        """Deliver a message a little later, unless either end is cut off."""
+        """Deliver a message after `MESSAGE_DELAY_S`, unless either end is cut off."""
         loop = asyncio.get_running_loop()
-        loop.call_later(MESSAGE_S, self._arrive, message)
+        loop.call_later(MESSAGE_DELAY_S, self._deliver, message)
         return True
 
-    def _arrive(self, message: Message) -> None:
+    def _deliver(self, message: Message) -> None:
         if self.sender.is_cut_off_ or self.receiver.is_cut_off_:
             return
         info = SimpleNamespace(
@@ -172,7 +171,7 @@
 
 
 class SimulatedFleet:
-    """Hold a store and entries; the first ones follow the store for the others."""
+    """Run a store and entries, of which the first ones follow it for the others."""
 
     def __init__(
         self,
@@ -186,9 +185,9 @@
         self.random = Random(seed)
         self.entry_count = followers + resting
         self.follower_ids = {EntryId(f"e{n}") for n in range(followers)}
-        known = versions or {}
+        versions_by_number = versions or {}
         self.entries = [
-            SimulatedEntry(n, self, version=known.get(n, PROTOCOL_VERSION))
+            SimulatedEntry(n, self, version=versions_by_number.get(n, PROTOCOL_VERSION))
             for n in range(self.entry_count)
         ]
         for sender in self.entries:
@@ -199,14 +198,14 @@
         self.running_: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Let all entries follow the store and tell each other."""
+        """Start the follower and the heartbeats of every entry."""
         for entry in self.entries:
             random = Random(self.random.random())
             self.running_.append(asyncio.ensure_future(entry.follower.run()))
-            self.running_.append(asyncio.ensure_future(entry.beat(random)))
+            self.running_.append(asyncio.ensure_future(entry.send_heartbeats(random)))
 
     def stop(self) -> None:
-        """End what runs."""
+        """Cancel all tasks of the entries."""
         for task in self.running_:
             task.cancel()
 
@@ -226,11 +225,11 @@
         self.store.put(ENDPOINTS_KIND, name, spec)
 
     def change_other_kind(self) -> None:
-        """Raise the revision of the store without a change of endpoints."""
+        """Increase the revision of the store without a change of endpoints."""
         self.store.put("config", "main", {"version": self.store.revision_})
 
     async def be_away(self, seconds: float, held: StoreCopy) -> None:
-        """Let the store be away, and come back from a copy."""
+        """Make the store unavailable for some seconds, then restore it from a copy."""
         self.store.fault = StoreFault.RESET
         await asyncio.sleep(seconds)
         self.store.restore(held)
--- a/packages/leadford-standins/src/leadford_standins/wire/_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_store.py
@@ -1,7 +1,7 @@
-"""Stand in for the platform's metadata store: objects, lists, watches, faults.
+"""Stand in for the platform's metadata store: objects, lists, watches and faults.
 
-Met by the forwarding entry through `platform/`; the object API of leadford's own
-interface is another protocol, stood in for by `leadford_standins.store`.
+The forwarding entry calls it through `platform/`. The object API of leadford's own
+interface is another protocol; its stand-in is `leadford_standins.store`.
 """
 
 import asyncio
@@ -14,18 +14,17 @@
 
 from tornado import httpserver, iostream, web
 
-# Changes that a watch can be caught up with; older revisions are gone.
-HISTORY_EVENTS = 200
-# Seconds between looks whether watches are still to say nothing.
-DEAF_CHECK_S = 30.0
-# Parts in which a slow answer leaves, so that some of it arrives all the time.
-SLOW_PARTS = 50
+# Changes that are kept for watches; older ones are discarded.
+MAX_HISTORY_EVENTS = 200
+SILENT_WATCH_POLL_INTERVAL_S = 30.0
+# A slow answer is sent in parts, so that data arrives all the time.
+SLOW_BODY_PART_COUNT = 50
 
 
 class StoreFault(Enum):
-    """Say how the store fails.
+    """Enumerate the faults of the store.
 
-    `SLOW` answers after `StoreStandIn.slow_s`; `LOST` does what a call asks and then
+    `SLOW` answers after `StoreStandIn.slow_s` seconds; `LOST` executes a call and then
     closes its connection without an answer.
     """
 
@@ -37,18 +36,18 @@
     LOST = "lost"
 
 
-_ENDS_WATCHES = (StoreFault.BUSY, StoreFault.RESET, StoreFault.SILENT)
+_FAULTS_ENDING_WATCHES = (StoreFault.BUSY, StoreFault.RESET, StoreFault.SILENT)
 
 
 @dataclass(frozen=True)
 class StoreCopy:
-    """Hold what the store held at a moment."""
+    """Hold a copy of the store's objects and revision at one moment."""
 
     objects_by_kind: dict[str, dict[str, dict]]
     revision: int
 
     def items(self) -> list[tuple[str, str, dict]]:
-        """Return kind, name and object of each that the store held."""
+        """Return the kind, name and content of each object in the copy."""
         return [
             (kind, name, item)
             for kind, objects in self.objects_by_kind.items()
@@ -57,27 +56,29 @@
 
 
 class StoreStandIn:
-    """Hold objects by kind and name; every change raises one revision.
+    """Hold objects by kind and name; every change increments the store's revision.
 
-    `era_` is told in every answer, and rises with each restoration from a copy; a store
-    of an older platform tells None.
+    `era_` is the epoch of the store. Every answer contains it, and each restoration
+    from a copy increments it. It is None for a store of an older platform, which sends
+    no epoch.
     """
 
     def __init__(self) -> None:
         self.era_: int | None = 1
-        # Removed since the last restoration, by kind and name.
-        self.deleted_: set[tuple[str, str]] = set()
+        # Kind and name of each object removed since the last restoration.
+        self.deleted_since_restore_: set[tuple[str, str]] = set()
         self.objects_by_kind_: dict[str, dict[str, dict]] = {}
-        self.history_: deque[tuple[int, str, bool, dict]] = deque(maxlen=HISTORY_EVENTS)
+        self.history_: deque[tuple[int, str, bool, dict]] = deque(
+            maxlen=MAX_HISTORY_EVENTS
+        )
         self.forgotten_revision_ = 0
         self.revision_ = 0
         self.changed_ = asyncio.Event()
         self.fault = StoreFault.NONE
         self.slow_s = 1.0
         self.has_deaf_watches = False
-        # Seconds that the body of an answer about a kind takes on its way.
+        # Seconds over which the body of an answer about a kind is sent.
         self.body_s_by_kind: dict[str, float] = {}
-        # Seconds that the removal of an object takes.
         self.delete_s = 0.0
         self.calls_ = 0
         self.deletes_ = 0
@@ -106,69 +107,72 @@
             "status": None,
         }
         self.objects_by_kind_.setdefault(kind, {})[name] = item
-        self._note(kind, item, gone=False)
+        self._record_change(kind, item, gone=False)
 
     def delete(self, kind: str, name: str) -> bool:
-        """Remove an object; return whether it was there."""
-        self.deleted_.add((kind, name))
+        """Remove an object; return whether it existed."""
+        self.deleted_since_restore_.add((kind, name))
         item = self.objects_by_kind_.get(kind, {}).pop(name, None)
         if item is None:
             return False
         self.revision_ += 1
-        self._note(kind, item, gone=True)
+        self._record_change(kind, item, gone=True)
         return True
 
     def forget_history(self) -> None:
-        """Drop what watches would go on from."""
+        """Discard the changes from which watches can resume."""
         self.history_.clear()
         self.forgotten_revision_ = self.revision_
-        self._wake()
+        self._notify_watches()
 
     def copy(self) -> StoreCopy:
-        """Return what the store may be restored from."""
+        """Return a copy from which the store can be restored."""
         return StoreCopy(copy.deepcopy(self.objects_by_kind_), self.revision_)
 
     def restore(self, held: StoreCopy) -> StoreCopy:
-        """Come back from a copy; return what the store held, which may be gone."""
+        """Restore the store from a copy; return a copy of its state before that."""
         before = self.copy()
-        self.deleted_.clear()
+        self.deleted_since_restore_.clear()
         self.objects_by_kind_ = copy.deepcopy(held.objects_by_kind)
         self.revision_ = held.revision
         self.era_ += 1
         kept = [event for event in self.history_ if event[0] <= held.revision]
-        self.history_ = deque(kept, maxlen=HISTORY_EVENTS)
-        self._wake()
+        self.history_ = deque(kept, maxlen=MAX_HISTORY_EVENTS)
+        self._notify_watches()
         return before
 
     def write_again(
         self, before: StoreCopy, held: StoreCopy, kinds: Iterable[str]
     ) -> None:
-        """Write again what owners of kinds had written since a copy was made.
+        """Repeat the writes to kinds that a restoration from a copy has lost.
 
-        What they have written after the restoration stays.
+        `before` is the state before the restoration from `held`. Objects that were
+        written or removed after the restoration stay as they are.
         """
         for kind, name, item in before.items():
-            now = self.objects_by_kind_.get(kind, {}).get(name)
-            lost = held.objects_by_kind.get(kind, {}).get(name)
-            was_written = now != lost or (kind, name) in self.deleted_
-            if kind in kinds and item != lost and not was_written:
+            current = self.objects_by_kind_.get(kind, {}).get(name)
+            copied = held.objects_by_kind.get(kind, {}).get(name)
+            was_written = (
+                current != copied or (kind, name) in self.deleted_since_restore_
+            )
+            if kind in kinds and item != copied and not was_written:
                 self.put(kind, name, item["spec"])
         for kind, name, item in held.items():
-            now = self.objects_by_kind_.get(kind, {}).get(name)
+            current = self.objects_by_kind_.get(kind, {}).get(name)
             was_removed = name not in before.objects_by_kind.get(kind, {})
-            if kind in kinds and was_removed and now == item:
+            if kind in kinds and was_removed and current == item:
                 self.delete(kind, name)
 
-    def _note(self, kind: str, item: dict, *, gone: bool) -> None:
+    def _record_change(self, kind: str, item: dict, *, gone: bool) -> None:
         self.history_.append((self.revision_, kind, gone, item))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self.changed_.set()
         self.changed_ = asyncio.Event()
 
     def events_after(self, kind: str, revision: int) -> list[dict] | None:
-        """Return the changes of a kind, or None when they are not to be had."""
+        """Return the changes of a kind after a revision, None if unavailable."""
         if not self.forgotten_revision_ <= revision <= self.revision_:
             return None
         return [
@@ -179,13 +183,13 @@
 
 
 class _ObjectHandler(web.RequestHandler):
-    """Serve the calls on objects."""
+    """Serve the calls of the object API."""
 
     def initialize(self, store: StoreStandIn) -> None:
         self.store = store
 
     def flush(self, include_footers: bool = False) -> asyncio.Future[None]:
-        """Say in which era the store answers, not in which it was asked."""
+        """Send the epoch at the time of the answer, not that of the call."""
         if self.store.era_ is not None:
             self.set_header("Store-Era", str(self.store.era_))
         return super().flush(include_footers)
@@ -200,17 +204,17 @@
         if fault is StoreFault.SLOW:
             await asyncio.sleep(self.store.slow_s)
         if fault is StoreFault.RESET:
-            self._drop()
+            self._close_connection()
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         """Close the connection without an answer."""
         self._finished = True
         self.request.connection.stream.close()
 
     def _answer(self, body: dict) -> None:
-        """Answer, unless answers are being lost."""
+        """Send an answer, or close the connection under `StoreFault.LOST`."""
         if self.store.fault is StoreFault.LOST:
-            self._drop()
+            self._close_connection()
             return
         self.finish(body)
 
@@ -231,42 +235,46 @@
 
     async def _watch(self, kind: str, revision: int) -> None:
         wait_s = int(self.get_query_argument("waitMs", "1000")) / 1_000.0
-        until = asyncio.get_running_loop().time() + wait_s
+        deadline = asyncio.get_running_loop().time() + wait_s
         while True:
             while self.store.has_deaf_watches:
-                await asyncio.sleep(DEAF_CHECK_S)
+                await asyncio.sleep(SILENT_WATCH_POLL_INTERVAL_S)
             changed = self.store.changed_
             events = self.store.events_after(kind, revision)
             if events is None:
                 raise web.HTTPError(410)
-            left_s = until - asyncio.get_running_loop().time()
-            if events or left_s <= 0.0 or self.store.fault in _ENDS_WATCHES:
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if (
+                events
+                or remaining_s <= 0.0
+                or self.store.fault in _FAULTS_ENDING_WATCHES
+            ):
                 break
             try:
-                await asyncio.wait_for(changed.wait(), left_s)
+                await asyncio.wait_for(changed.wait(), remaining_s)
             except TimeoutError:
                 continue
-        if self.store.fault in _ENDS_WATCHES:
+        if self.store.fault in _FAULTS_ENDING_WATCHES:
             raise web.HTTPError(503)
         await self._finish_body(kind, {"events": events, "at": self.store.revision_})
 
     async def _finish_body(self, kind: str, page: dict) -> None:
-        """Answer, at the pace that is set for the kind."""
+        """Send an answer over the duration that is set for the kind."""
         body_s = self.store.body_s_by_kind.get(kind, 0.0)
         if not body_s:
             self._answer(page)
             return
         body = json.dumps(page).encode()
         self.set_header("Content-Length", str(len(body)))
-        size = len(body) // SLOW_PARTS + 1
+        size = len(body) // SLOW_BODY_PART_COUNT + 1
         for start in range(0, len(body), size):
             self.write(body[start : start + size])
             try:
                 await self.flush()
             except iostream.StreamClosedError:
-                # The entry gave this answer up.
+                # The entry has closed the connection.
                 return
-            await asyncio.sleep(body_s / SLOW_PARTS)
+            await asyncio.sleep(body_s / SLOW_BODY_PART_COUNT)
         self.finish()
 
     def post(self, kind: str, name: str | None) -> None:
