--- a/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
@@ -1,7 +1,7 @@
-"""Run a small deployment of the platform on loopback: store, endpoints, entries.
+"""Run a small deployment of the platform on loopback: store, endpoints and entries.
 
-All in one event loop, entries included; tests of `leadford_standins.wire` and the
-demonstration use it.
+All of them, including the entries, run in one event loop. The tests of
+`leadford_standins.wire` and the demonstration use this deployment.
 """
 
 import asyncio
@@ -24,25 +24,24 @@
 
 HOST = "rooms.example"
 KEY = "key-1"
-# Seconds for the entries to be ready, and between looks; choices of the tests.
-READY_S = 5.0
-STEP_S = 0.02
+READY_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.02
 
-REFUSALS = (429, 503)
-# Below the ports from which the kernel lets connections leave.
-PORT_LEAST, PORT_MOST = 12_000, 32_000
-# Runs beside each other must not draw the same ports.
-_PORTS = SystemRandom()
+REFUSAL_STATUSES = (429, 503)
+# This range is below the kernel's range of ephemeral ports.
+PORT_RANGE_START, PORT_RANGE_END = 12_000, 32_000
+# Not seeded: test runs in parallel must not draw the same ports.
+_PORT_RANDOM = SystemRandom()
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on now, and that no connection leaves from.
+    """Return a port that is free now, outside of the kernel's ephemeral range.
 
-    An entry that a test starts again binds its port once more. One in the range of the
-    kernel's own choices was taken by a connection of another process meanwhile.
+    An entry that a test restarts binds its port again. Between the two, the kernel may
+    give an ephemeral port to a connection of another process.
     """
     while True:
-        port = _PORTS.randrange(PORT_LEAST, PORT_MOST)
+        port = _PORT_RANDOM.randrange(PORT_RANGE_START, PORT_RANGE_END)
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
@@ -105,7 +104,10 @@
 
 
 class Deployment:
-    """Hold the parts; use it with `async with`."""
+    """Run a store, endpoints and entries; use it with `async with`.
+
+    Units: evacuate_s in seconds.
+    """
 
     def __init__(
         self,
@@ -122,8 +124,8 @@
         self.config = default_config()
         self.store = StoreStandIn()
         self.entries_: list[ForwardProcess] = []
-        # Every endpoint that ended under a request.
-        self.ended_: list[PlainStandIn] = []
+        # Every endpoint that crashed while it ran a request.
+        self.crashed_endpoints_: list[PlainStandIn] = []
 
     async def __aenter__(self) -> "Deployment":
         self.store_address_ = self.store.start()
@@ -152,43 +154,51 @@
             await endpoint.stop()
         self.store.stop()
 
-    def end_on(self, body: bytes, *, back_s: float) -> None:
-        """Let each endpoint end as soon as it runs a request with a body.
+    def crash_on_body(self, body: bytes, *, restart_delay_s: float) -> None:
+        """Make each endpoint crash as soon as it runs a request with this body.
 
-        It is back after some seconds, as another start with another id.
+        An endpoint with a new id replaces it after `restart_delay_s` seconds.
         """
         for endpoint in [*self.plain, *self.engines]:
             endpoint.ends_on_.add(body)
-            endpoint.on_end_ = partial(self._start_again, endpoint, back_s)
+            endpoint.on_end_ = partial(
+                self._schedule_replacement, endpoint, restart_delay_s
+            )
 
-    def end_stages_on(self, request_key: str, *, back_s: float) -> None:
-        """Let each endpoint of stages end as soon as it makes a piece with a key."""
+    def crash_stages_on_key(self, request_key: str, *, restart_delay_s: float) -> None:
+        """Make each stage endpoint crash as soon as it makes a piece with this key."""
         for endpoint in self.stage:
-            endpoint.ends_on_keys_.add(request_key)
-            endpoint.on_end_ = partial(self._start_again, endpoint, back_s)
+            endpoint.crash_keys_.add(request_key)
+            endpoint.on_end_ = partial(
+                self._schedule_replacement, endpoint, restart_delay_s
+            )
 
-    def _start_again(self, ended: PlainStandIn, back_s: float) -> None:
-        """Record that an endpoint ended, and start another in its place."""
-        self.ended_.append(ended)
+    def _schedule_replacement(
+        self, crashed: PlainStandIn, restart_delay_s: float
+    ) -> None:
+        """Record that an endpoint crashed, and schedule its replacement."""
+        self.crashed_endpoints_.append(crashed)
         loop = asyncio.get_running_loop()
-        loop.call_later(back_s, self._replace, ended, back_s)
+        loop.call_later(restart_delay_s, self._replace, crashed, restart_delay_s)
 
-    def _replace(self, ended: PlainStandIn, back_s: float) -> None:
+    def _replace(self, crashed: PlainStandIn, restart_delay_s: float) -> None:
         groups = (self.plain, self.stage, self.engines)
-        group = next(group for group in groups if ended in group)
-        again = ended.another_start()
-        again.on_end_ = partial(self._start_again, again, back_s)
-        group[group.index(ended)] = again
-        again.start()
-        self.store.delete("servers", ended.endpoint_id)
-        self.store.put("servers", again.endpoint_id, again.spec())
+        group = next(group for group in groups if crashed in group)
+        replacement = crashed.make_replacement()
+        replacement.on_end_ = partial(
+            self._schedule_replacement, replacement, restart_delay_s
+        )
+        group[group.index(crashed)] = replacement
+        replacement.start()
+        self.store.delete("servers", crashed.endpoint_id)
+        self.store.put("servers", replacement.endpoint_id, replacement.spec())
 
     def all_endpoints(self) -> list[PlainStandIn]:
         """Return every endpoint."""
         return [*self.plain, *self.stage, *self.engines]
 
     def regions(self) -> RegionMap:
-        """Return the one region that holds all halls."""
+        """Return the region map, with all halls in one region."""
         halls = [HallId(f"hall-{number}") for number in range(self.endpoints)]
         return RegionMap(dict.fromkeys(halls, PlaceId("region")))
 
@@ -197,9 +207,9 @@
         self.store.put("config", "main", self.config)
 
     async def declare_call_ms(self, call_ms: float) -> None:
-        """Put a configuration in force that says how long calls of the stage take.
+        """Apply a configuration with this duration of stage calls, on all entries.
 
-        Calls that last much longer than that are given up.
+        Entries abandon calls that last much longer than that.
         """
         for service in self.config["services"]:
             if "pieces" in service:
@@ -212,7 +222,7 @@
         )
 
     async def start_entry(self, number: int, *, wait: bool = True) -> ForwardProcess:
-        """Start an entry, and wait until it serves."""
+        """Start an entry; by default wait until it is ready and knows all endpoints."""
         settings = ForwardSettings(
             entry_id=EntryId(f"entry-{number}"),
             hall=HallId(f"hall-{number % self.endpoints}"),
@@ -242,43 +252,43 @@
         return entry
 
     async def restart_entry(self, number: int) -> ForwardProcess:
-        """Stop an entry at once and start another process in its place."""
-        before = self.entries_[number]
-        before.stop()
-        entry = await self._start(before.settings)
+        """Stop an entry without draining, and start another one in its place."""
+        old_entry = self.entries_[number]
+        old_entry.stop()
+        entry = await self._start(old_entry.settings)
         self.entries_[number] = entry
         return entry
 
     def knows_all(self, entry: ForwardProcess) -> bool:
-        """Tell whether an entry has listed every endpoint."""
+        """Return whether an entry knows every endpoint."""
         known = entry.state_.roster_.records_by_id_
         return all(endpoint.endpoint_id in known for endpoint in self.all_endpoints())
 
-    async def until(self, condition, timeout_s: float = READY_S) -> None:
-        """Wait for a condition."""
+    async def until(self, condition, timeout_s: float = READY_TIMEOUT_S) -> None:
+        """Wait until a condition holds."""
         async with asyncio.timeout(timeout_s):
             while not condition():
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def until_linked(self) -> None:
-        """Wait until each entry of a small fleet holds a link to every other one."""
+        """Wait until each entry of a small fleet has a link to every other entry."""
         others = len(self.entries_) - 1
         await self.until(
             lambda: all(len(e.links_.peers_by_id_) >= others for e in self.entries_)
         )
 
     async def send_with_retries(
-        self, path: str, *, request_id: str, tries: int = 3, **fields
+        self, path: str, *, request_id: str, max_attempts: int = 3, **fields
     ) -> HTTPResponse:
-        """Send a request as a caller that comes back when a refusal tells it to.
+        """Send a request; after a refusal retry it once its Retry-After has passed.
 
-        Each try has an id of its own.
+        Each attempt has its own request id.
         """
-        for number in range(tries):
+        for number in range(max_attempts):
             answer = await self.send(
                 path, request_id=f"{request_id}.{number}", **fields
             )
-            if answer.code not in REFUSALS:
+            if answer.code not in REFUSAL_STATUSES:
                 break
             await asyncio.sleep(float(answer.headers.get("Retry-After", "0")))
         return answer
@@ -295,8 +305,11 @@
         headers: dict[str, str] | None = None,
         deadline_ms: int = 3_000,
     ) -> HTTPResponse:
-        """Send a request as a caller; status 599 means no whole answer came."""
-        lines = {
+        """Send a request as a caller; status 599 stands for an incomplete answer.
+
+        Units: deadline_ms in milliseconds.
+        """
+        header_values = {
             "Host": HOST,
             "X-Attempt-Id": request_id,
             "X-Deadline-Ms": str(deadline_ms),
@@ -308,12 +321,12 @@
             **(headers or {}),
         }
         if key is not None:
-            lines["Authorization"] = f"Token {key}"
+            header_values["Authorization"] = f"Token {key}"
         address = self.entries_[entry].settings.callers
         request = HTTPRequest(
             f"http://{address}{path}",
             method=method,
-            headers=lines,
+            headers=header_values,
             body=body if method != "GET" else None,
             request_timeout=deadline_ms / 1_000.0 + 1.0,
         )
--- a/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
@@ -1,7 +1,7 @@
 """Stand in for plain endpoints and batched stages (engines: `_engines`).
 
-Met by the forwarding entry on the platform's wire. Each keeps what ran, and goes wrong
-as `Misbehaviour` says, for the requests that a test names beforehand.
+The forwarding entry calls them over the platform's protocol. Each records what ran. A
+test queues a `Misbehaviour` for each of the next requests.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Misbehaviour(Enum):
-    """Say what goes wrong with one request."""
+    """Enumerate the faults that can be injected into one request."""
 
     NONE = "none"
     LOSE_ANSWER = "lose-answer"
@@ -33,7 +33,10 @@
 
 
 class Run(msgspec.Struct, frozen=True):
-    """Hold one request that ran."""
+    """Describe one request that ran.
+
+    Units: at_s is the time of the event loop in seconds.
+    """
 
     request_id: str
     method: str
@@ -44,9 +47,9 @@
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """Hold one request that arrived, and whether the endpoint runs it.
+    """Describe one request that arrived, and whether it expected another endpoint.
 
-    Units: at_s is the time of the event loop.
+    Units: at_s is the time of the event loop in seconds.
     """
 
     request_id: str
@@ -55,7 +58,7 @@
 
 
 class PlainStandIn:
-    """Answer requests after some work, and keep a ledger of what ran."""
+    """Answer each request after `work_s` seconds, and record what ran."""
 
     def __init__(self, *, service: str, hall: str, work_s: float = 0.005) -> None:
         self.service = service
@@ -68,10 +71,10 @@
         self.arrived_: list[Arrival] = []
         self.misbehaved_by_request_: dict[str, Misbehaviour] = {}
         self.left_early_ = 0
-        # The process ends as soon as it runs a request with one of these bodies.
+        # The endpoint crashes as soon as it runs a request with one of these bodies.
         self.ends_on_: set[bytes] = set()
         self.on_end_: Callable[[], None] | None = None
-        # Headers that each answer carries besides.
+        # Additional headers of each answer.
         self.says_: dict[str, str] = {}
 
     def start(self) -> str:
@@ -87,30 +90,32 @@
         return self.address_
 
     async def stop(self) -> None:
-        """Stop listening and drop every connection."""
+        """Stop listening and close every connection."""
         self.server_.stop()
         await self.server_.close_all_connections()
 
-    def another_start(self) -> "PlainStandIn":
-        """Return what comes in place of one that ended; it holds nothing of before."""
-        again = type(self)(service=self.service, hall=self.hall, work_s=self.work_s)
-        again.ends_on_ = self.ends_on_
-        return again
+    def make_replacement(self) -> "PlainStandIn":
+        """Return the endpoint that replaces this one, with none of its state."""
+        replacement = type(self)(
+            service=self.service, hall=self.hall, work_s=self.work_s
+        )
+        replacement.ends_on_ = self.ends_on_
+        return replacement
 
     def end(self) -> None:
-        """End as a process does that crashes: every connection closes at once."""
+        """Simulate a crash of the process: close every connection at once."""
         self.server_.stop()
         for connection in list(self.server_._connections):
             connection.stream.close()
         if self.on_end_ is not None:
             self.on_end_()
 
-    def take_misbehaviour(self) -> Misbehaviour:
-        """Return what goes wrong with the next request."""
+    def pop_misbehaviour(self) -> Misbehaviour:
+        """Remove and return the queued misbehaviour for the next request."""
         return self.next_.popleft() if self.next_ else Misbehaviour.NONE
 
     def spec(self, state: str = "ready") -> dict:
-        """Return how the endpoint is listed."""
+        """Return the spec under which the store lists the endpoint."""
         return {
             "service": self.service,
             "address": self.address_,
@@ -131,14 +136,14 @@
 
 
 def is_held(handle: str, makers: "list[StageStandIn]") -> bool:
-    """Tell whether a result lies at the endpoint that made it; any, without makers."""
+    """Return whether one of the makers holds a result; True if there are no makers."""
     return not makers or any(handle in maker.results_ for maker in makers)
 
 
 class StageStandIn(PlainStandIn):
-    """Make pieces in batches, one call at a time, within room for results.
+    """Make pieces in batches, one call at a time, and hold at most `room` results.
 
-    A call fetches its inputs from their makers when its turn comes.
+    A call reads its inputs from their makers when it starts to run.
     """
 
     def __init__(
@@ -154,88 +159,90 @@
         self.room = room
         self.makers = makers if makers is not None else []
         self.gone_ = 0
-        self.without_room_ = 0
-        self.results_most_ = 0
+        self.without_room_count_ = 0
+        self.max_results_ = 0
         self.results_read_ = 0
         self.freed_in_call_ = 0
         self.waiting_ = 0
-        self.lock_ = asyncio.Lock()
+        self.call_lock_ = asyncio.Lock()
         self.results_: set[str] = set()
         self.items_: list[dict] = []
         self.calls_: list[int] = []
-        # The process ends as soon as it makes a piece with one of these keys.
-        self.ends_on_keys_: set[str] = set()
+        # The endpoint crashes as soon as it makes a piece with one of these keys.
+        self.crash_keys_: set[str] = set()
 
     async def serve(self, handler: "EndpointHandler") -> None:
-        """Run one call or release results."""
+        """Run one call for a batch of pieces, or release results."""
         body = json.loads(handler.request.body)
         if handler.request.path.endswith("stage-free"):
-            given_up = self.results_ & set(body["kvHandles"])
-            self.results_ -= given_up
-            if any(maker.lock_.locked() for maker in self.makers):
-                self.freed_in_call_ += len(given_up)
+            released = self.results_ & set(body["kvHandles"])
+            self.results_ -= released
+            if any(maker.call_lock_.locked() for maker in self.makers):
+                self.freed_in_call_ += len(released)
             handler.finish({})
             return
         self.waiting_ += 1
-        async with self.lock_:
+        async with self.call_lock_:
             self.waiting_ -= 1
             keys = {item.get("privateKey", "") for item in body["items"]}
-            if keys & self.ends_on_keys_:
+            if keys & self.crash_keys_:
                 self.calls_.append(len(body["items"]))
-                handler.leave_unanswered()
+                handler.suppress_answer()
                 self.end()
                 return
             items = [
-                self._begin(item, is_gone=handler.misbehaviour is Misbehaviour.GONE)
+                self._make_piece(
+                    item, is_gone=handler.misbehaviour is Misbehaviour.GONE
+                )
                 for item in body["items"]
             ]
             await asyncio.sleep(self.call_s)
         self.calls_.append(len(items))
         handler.set_header(
-            "X-Server-Load", f"{int(self.lock_.locked())},{self.waiting_},1"
+            "X-Server-Load", f"{int(self.call_lock_.locked())},{self.waiting_},1"
         )
         handler.finish({"items": items})
 
-    def _begin(self, item: dict, *, is_gone: bool) -> dict:
-        """Fetch the inputs of a piece, take room for its result and make it."""
+    def _make_piece(self, item: dict, *, is_gone: bool) -> dict:
+        """Read the inputs of a piece, reserve room for its result and make it."""
         inputs = item.get("inputs", [])
         if is_gone or not all(is_held(handle, self.makers) for handle in inputs):
             self.gone_ += 1
             return {"reason": "gone"}
         self.results_read_ += len(inputs)
         if len(self.results_) >= self.room:
-            self.without_room_ += 1
+            self.without_room_count_ += 1
             return {"reason": "room"}
         self.items_.append(item)
         handle = f"{self.address_}/{next(_ids):x}"
         self.results_.add(handle)
-        self.results_most_ = max(self.results_most_, len(self.results_))
+        self.max_results_ = max(self.max_results_, len(self.results_))
         return {"kvHandle": handle}
 
-    def another_start(self) -> "StageStandIn":
-        """Return what comes in place of one that ended; it holds nothing of before."""
-        again = StageStandIn(
+    def make_replacement(self) -> "StageStandIn":
+        """Return the endpoint that replaces this one, with none of its state."""
+        replacement = StageStandIn(
             call_s=self.call_s,
             room=self.room,
             makers=self.makers,
             service=self.service,
             hall=self.hall,
         )
-        again.ends_on_keys_ = self.ends_on_keys_
-        return again
+        replacement.crash_keys_ = self.crash_keys_
+        return replacement
 
 
 class EndpointHandler(web.RequestHandler):
-    """Serve one request as its endpoint does, or go wrong as told."""
+    """Serve one request as its endpoint does, or inject the queued misbehaviour."""
 
     def initialize(self, endpoint: PlainStandIn) -> None:
         self.endpoint = endpoint
         self.misbehaviour = Misbehaviour.NONE
 
     def check_xsrf_cookie(self) -> None:
-        """Allow every call."""
+        """Accept every call."""
 
-    async def _any(self) -> None:
+    async def _handle(self) -> None:
         endpoint = self.endpoint
         endpoint.arrivals_ += 1
         request_id = self.request.headers.get("X-Attempt-Id", "")
@@ -245,11 +252,11 @@
             self.set_header(name, value)
         expected = self.request.headers.get("X-Expect-Instance")
         if expected not in (None, endpoint.endpoint_id):
-            self._note_arrival(request_id, is_refused=True)
+            self._record_arrival(request_id, is_refused=True)
             self.refuse(421)
             return
-        self._note_arrival(request_id, is_refused=False)
-        self.misbehaviour = endpoint.take_misbehaviour()
+        self._record_arrival(request_id, is_refused=False)
+        self.misbehaviour = endpoint.pop_misbehaviour()
         if self.misbehaviour is not Misbehaviour.NONE:
             endpoint.misbehaved_by_request_[request_id] = self.misbehaviour
         self.set_header("X-Server-Stamp", f"stamp.{endpoint.endpoint_id}")
@@ -258,7 +265,7 @@
             return
         if self.request.body in endpoint.ends_on_:
             self.record_run()
-            self.leave_unanswered()
+            self.suppress_answer()
             endpoint.end()
             return
         if self.misbehaviour is Misbehaviour.FAIL:
@@ -268,7 +275,7 @@
             return
         if self.misbehaviour is Misbehaviour.LOSE_ANSWER:
             self.record_run()
-            self.drop()
+            self.close_connection()
             return
         if self.misbehaviour is Misbehaviour.HANG:
             self.record_run()
@@ -279,14 +286,14 @@
             self.clear_header("X-Server-Stamp")
         await endpoint.serve(self)
 
-    get = post = put = delete = _any
+    get = post = put = delete = _handle
 
-    def _note_arrival(self, request_id: str, *, is_refused: bool) -> None:
+    def _record_arrival(self, request_id: str, *, is_refused: bool) -> None:
         now = asyncio.get_running_loop().time()
         self.endpoint.arrived_.append(Arrival(request_id, now, is_refused))
 
     def record_run(self) -> None:
-        """Write down that the request ran."""
+        """Record that the request ran."""
         request = self.request
         headers = dict(request.headers.get_all())
         run = Run(
@@ -306,15 +313,15 @@
         self.set_status(status)
         self.finish()
 
-    def leave_unanswered(self) -> None:
-        """Write no answer, also not once the handler returns."""
+    def suppress_answer(self) -> None:
+        """Keep tornado from writing an answer when the handler returns."""
         self._finished = True
 
-    def drop(self) -> None:
+    def close_connection(self) -> None:
         """Close the connection without an answer."""
-        self.leave_unanswered()
+        self.suppress_answer()
         self.request.connection.stream.close()
 
     def on_connection_close(self) -> None:
-        """Count callers that left before the answer."""
+        """Count connections that closed before the answer."""
         self.endpoint.left_early_ += 1
--- a/packages/leadford-standins/src/leadford_standins/wire/_engines.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_engines.py
@@ -1,8 +1,8 @@
-"""Stand in for model engines, with the parts of prompts that they keep.
+"""Stand in for model engines that cache parts of prompts.
 
-Met by the forwarding entry on the platform's wire. An engine streams numbered events,
-goes on after the event that a caller names, and fetches its inputs from the stages that
-made them.
+The forwarding entry calls them over the platform's protocol. An engine streams numbered
+events, resumes after the event that a caller names, and reads its inputs from the
+stages that made them.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 )
 
 
-class KeptParts:
-    """Keep the parts of prompts that were read last, up to a memory.
+class PromptCache:
+    """Cache the most recently read parts of prompts, up to `memory_tokens`.
 
-    A part counts as kept if every part before it in the prompt is kept as well.
+    A part is a cache hit only if every part before it in the prompt is one as well.
     """
 
     def __init__(self, *, memory_tokens: int) -> None:
@@ -30,59 +30,59 @@
         self.tokens_by_part_: OrderedDict[str, int] = OrderedDict()
         self.read_tokens_ = 0
         self.read_again_tokens_ = 0
-        self.ever_read_: set[str] = set()
+        self.seen_parts_: set[str] = set()
 
     def read(self, parts: list[tuple[str, int]]) -> None:
-        """Read a prompt; what is kept is not read again."""
-        is_kept = True
+        """Read a prompt; count only tokens that are not cached."""
+        is_cached = True
         for part, tokens in parts:
-            is_kept = is_kept and part in self.tokens_by_part_
-            if not is_kept:
+            is_cached = is_cached and part in self.tokens_by_part_
+            if not is_cached:
                 self.read_tokens_ += tokens
-                self.read_again_tokens_ += tokens * (part in self.ever_read_)
-            self.ever_read_.add(part)
+                self.read_again_tokens_ += tokens * (part in self.seen_parts_)
+            self.seen_parts_.add(part)
             self.tokens_by_part_[part] = tokens
             self.tokens_by_part_.move_to_end(part)
         while sum(self.tokens_by_part_.values()) > self.memory_tokens:
             self.tokens_by_part_.popitem(last=False)
 
 
-def _prompt_parts(text: str) -> list[tuple[str, int]]:
+def _parse_prompt_parts(text: str) -> list[tuple[str, int]]:
     pairs = [part.split(":") for part in text.split(",") if part]
     return [(name, int(tokens)) for name, tokens in pairs]
 
 
 class EngineStandIn(PlainStandIn):
-    """Stream numbered events; go on after `Last-Event-Id`; fetch inputs first."""
+    """Read inputs, then stream numbered events, from after `Last-Event-Id` if given."""
 
     def __init__(
         self,
         *,
         events: int = 5,
-        wants_inputs: bool = True,
+        requires_inputs: bool = True,
         memory_tokens: int = 100_000,
         makers: list[StageStandIn] | None = None,
         **fields,
     ) -> None:
         super().__init__(**fields)
         self.events = events
-        self.wants_inputs = wants_inputs
+        self.requires_inputs = requires_inputs
         self.pause_s = 0.005
         self.makers = makers or []
-        self.kept_ = KeptParts(memory_tokens=memory_tokens)
+        self.kept_ = PromptCache(memory_tokens=memory_tokens)
 
-    def another_start(self) -> "EngineStandIn":
-        """Return what comes in place of one that ended; it holds nothing of before."""
-        again = EngineStandIn(
+    def make_replacement(self) -> "EngineStandIn":
+        """Return the endpoint that replaces this one, with none of its state."""
+        replacement = EngineStandIn(
             events=self.events,
-            wants_inputs=self.wants_inputs,
+            requires_inputs=self.requires_inputs,
             makers=self.makers,
             service=self.service,
             hall=self.hall,
         )
-        again.pause_s = self.pause_s
-        again.ends_on_ = self.ends_on_
-        return again
+        replacement.pause_s = self.pause_s
+        replacement.ends_on_ = self.ends_on_
+        return replacement
 
     def event(self, number: int, request: HTTPServerRequest) -> str:
         """Return one event of a stream."""
@@ -91,7 +91,7 @@
     async def serve(self, handler: EndpointHandler) -> None:
         """Run one stream."""
         request = handler.request
-        if self.wants_inputs and not request.headers.get("X-Inputs"):
+        if self.requires_inputs and not request.headers.get("X-Inputs"):
             handler.refuse(400)
             return
         handles = [h for h in request.headers.get("X-Inputs", "").split(",") if h]
@@ -100,7 +100,7 @@
             handler.refuse(409)
             return
         handler.record_run()
-        self.kept_.read(_prompt_parts(request.headers.get("X-Prefix-Hash", "")))
+        self.kept_.read(_parse_prompt_parts(request.headers.get("X-Prefix-Hash", "")))
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         handler.set_header("Content-Type", "text/event-stream")
         handler.set_header("X-Weight-Versions", "1")
@@ -109,7 +109,7 @@
             if handler.misbehaviour is Misbehaviour.CUT and number == first + 2:
                 handler.write(f"id: {number}\ndata: to".encode())
                 await handler.flush()
-                handler.drop()
+                handler.close_connection()
                 return
             if handler.misbehaviour is Misbehaviour.STALL and number == first + 2:
                 await asyncio.sleep(3_600)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_crashing_requests.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_crashing_requests.py
@@ -1,16 +1,10 @@
-"""A request that ends each endpoint which runs it is soon sent to none.
+"""A request that crashes each endpoint that runs it is soon sent to no endpoint.
 
-Callers sent one request again and again, through whichever entry they reached. Each
-time it was new work: nothing remembered that endpoints had ended under it. What bounds
-attempts counts those of one request, and the budget for further ones is each entry's
-own and a service's, so innocents paid it. The log showed one request at many ends:
-
-    406 endpoints "i-2bbb,i-9575" first_ms -1 outcome "failed"  entry 1, 38.9 s
-    406 endpoints "i-8694,i-3cb5" first_ms -1 outcome "failed"  entry 2, 39.3 s
-    406 endpoints "i-04f7,i-b74f" first_ms -1 outcome "failed"  entry 1, 40.2 s
-
-with the same fingerprint in each line, 27 endpoints ended, and the requests that ran
-beside it broken off in the same millisecond, each of them once or twice.
+Callers repeat such a request through any entry. Without a record of the crashes, each
+repetition counts as a new request: the maximum of attempts applies to one request, and
+the retry budget belongs to one entry and one service, so other requests use it up. One
+repeated request, with the same fingerprint each time, crashed 27 endpoints and broke
+off the requests that ran beside it, each of them once or twice.
 """
 
 import asyncio
@@ -19,35 +13,35 @@
 
 from leadford_standins.wire import event_ids, play
 
-ENDING = b"ends whoever runs it"
-# Endpoints that may end before the request is known to all, and arrivals after that.
-ENDS_MOST = 6
-COPIES = 30
-COPIES_S = 0.1
-BACK_S = 0.8
+CRASHING_BODY = b"ends whoever runs it"
+# Endpoints that may crash before all entries know of the request.
+MAX_CRASHES = 6
+COPY_COUNT = 30
+COPY_INTERVAL_S = 0.1
+RESTART_DELAY_S = 0.8
 
 
-async def send_copies(deployment, path, copies=COPIES):
-    """Send a request again and again, each time through the next entry."""
+async def send_copies(deployment, path, copy_count=COPY_COUNT):
+    """Send copies of a request, each one through the next entry."""
 
     async def send(number):
         return await deployment.send(
             path,
             request_id=f"copy-{number}",
             entry=number % deployment.entries,
-            body=ENDING,
+            body=CRASHING_BODY,
             headers={"X-Piece-Key": "pk-ending"},
         )
 
-    sending = []
-    for number in range(copies):
-        sending.append(asyncio.ensure_future(send(number)))
-        await asyncio.sleep(COPIES_S)
-    return await asyncio.gather(*sending)
+    tasks = []
+    for number in range(copy_count):
+        tasks.append(asyncio.ensure_future(send(number)))
+        await asyncio.sleep(COPY_INTERVAL_S)
+    return await asyncio.gather(*tasks)
 
 
-async def send_innocent(deployment, number):
-    """Send a request beside others, and again at once while it is not served."""
+async def send_harmless_request(deployment, number):
+    """Send a request that crashes no endpoint; retry it at once if it fails."""
     await asyncio.sleep(number * 0.05)
     for attempt in range(4):
         answer = await deployment.send(
@@ -65,14 +59,16 @@
 @pytest.mark.parametrize("entries", [3, 9])
 def test_a_request_that_ends_its_endpoints_is_soon_sent_to_none(path, entries):
     async def scenario(deployment):
-        deployment.end_on(ENDING, back_s=BACK_S)
-        answers = await send_copies(deployment, path, copies=10 * entries)
-        assert 3 <= len(deployment.ended_) <= ENDS_MOST
-        # What was not sent anywhere is refused as not run, what ended one is not.
+        deployment.crash_on_body(CRASHING_BODY, restart_delay_s=RESTART_DELAY_S)
+        answers = await send_copies(deployment, path, copy_count=10 * entries)
+        assert 3 <= len(deployment.crashed_endpoints_) <= MAX_CRASHES
+        # 503 says that a request did not run; one that crashed an endpoint did.
         assert answers[-1].code == 503
         assert {answer.code for answer in answers} <= {502, 503, 599}
-        ran = [run for ended in deployment.ended_ for run in ended.runs_]
-        ran_ids = {run.request_id for run in ran if run.body == ENDING}
+        ran = [
+            run for crashed in deployment.crashed_endpoints_ for run in crashed.runs_
+        ]
+        ran_ids = {run.request_id for run in ran if run.body == CRASHING_BODY}
         refused = {f"copy-{n}" for n, a in enumerate(answers) if a.code == 503}
         assert not ran_ids & refused
 
@@ -82,16 +78,16 @@
 def test_a_request_whose_pieces_end_their_endpoints_is_soon_sent_to_none():
     async def scenario(deployment):
         await deployment.until_linked()
-        deployment.end_stages_on("pk-ending", back_s=BACK_S)
+        deployment.crash_stages_on_key("pk-ending", restart_delay_s=RESTART_DELAY_S)
 
-        sending = [
-            asyncio.ensure_future(send_innocent(deployment, number))
+        tasks = [
+            asyncio.ensure_future(send_harmless_request(deployment, number))
             for number in range(60)
         ]
         answers = await send_copies(deployment, "/resumed/x")
-        assert 3 <= len(deployment.ended_) <= ENDS_MOST
+        assert 3 <= len(deployment.crashed_endpoints_) <= MAX_CRASHES
         assert answers[-1].code == 503
-        served = await asyncio.gather(*sending)
+        served = await asyncio.gather(*tasks)
         assert [answer.code for answer in served] == [200] * 60
 
     play(scenario, entries=3, endpoints=6)
@@ -101,43 +97,43 @@
     async def scenario(deployment):
         for engine in deployment.engines:
             engine.pause_s = 0.1
-        deployment.end_on(ENDING, back_s=BACK_S)
+        deployment.crash_on_body(CRASHING_BODY, restart_delay_s=RESTART_DELAY_S)
 
-        sending = [
-            asyncio.ensure_future(send_innocent(deployment, number))
+        tasks = [
+            asyncio.ensure_future(send_harmless_request(deployment, number))
             for number in range(60)
         ]
         await send_copies(deployment, "/resumed/x")
-        answers = await asyncio.gather(*sending)
+        answers = await asyncio.gather(*tasks)
         assert [answer.code for answer in answers] == [200] * 60
         assert all(event_ids(answer.body) == [1, 2, 3, 4, 5] for answer in answers)
-        assert len(deployment.ended_) <= ENDS_MOST
+        assert len(deployment.crashed_endpoints_) <= MAX_CRASHES
 
     play(scenario, entries=3, endpoints=6)
 
 
 def test_an_entry_that_starts_later_knows_which_request_ends_endpoints():
     async def scenario(deployment):
-        deployment.end_on(ENDING, back_s=BACK_S)
-        await send_copies(deployment, "/resumed/x", copies=20)
-        ended = len(deployment.ended_)
+        deployment.crash_on_body(CRASHING_BODY, restart_delay_s=RESTART_DELAY_S)
+        await send_copies(deployment, "/resumed/x", copy_count=20)
+        crash_count = len(deployment.crashed_endpoints_)
         for number in range(deployment.entries):
-            # Each start knows only what those that were there can tell.
+            # A restarted entry knows only what the running entries tell it.
             entry = await deployment.restart_entry(number)
             await deployment.until(lambda entry=entry: entry.is_ready)
             await asyncio.sleep(1.0)
-        await send_copies(deployment, "/resumed/x", copies=6)
-        assert ended == len(deployment.ended_) <= ENDS_MOST
+        await send_copies(deployment, "/resumed/x", copy_count=6)
+        assert crash_count == len(deployment.crashed_endpoints_) <= MAX_CRASHES
 
     play(scenario, entries=3, endpoints=6)
 
 
 def test_what_only_looks_like_a_request_that_ends_endpoints_is_served():
     async def scenario(deployment):
-        deployment.end_on(ENDING, back_s=BACK_S)
+        deployment.crash_on_body(CRASHING_BODY, restart_delay_s=RESTART_DELAY_S)
         await send_copies(deployment, "/safe/x")
         answer = await deployment.send(
-            "/safe/x", request_id="other", body=ENDING + b" not"
+            "/safe/x", request_id="other", body=CRASHING_BODY + b" not"
         )
         assert answer.code == 200
 
