--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries work together, find each other, are lost and stop without harm."""
+"""Entries find each other, work together, and stop or fail without lost requests."""
 
 import asyncio
 
@@ -70,34 +70,35 @@
 
 
 def test_pieces_queued_before_entries_found_each_other_go_to_the_scheduler():
-    """Symptom: after a restart of all entries urgent pieces waited for seconds.
+    """Pieces move to the group's scheduler once the entries have links.
 
-    Sequence: each entry scheduled for itself until links stood, and kept what it had
-    queued by then; its calls met endpoints that the scheduler of the group kept full.
+    Until then each entry schedules its own pieces. If it kept them in its queue after
+    that, urgent pieces would wait for seconds, because the group's scheduler keeps the
+    endpoints fully occupied.
     """
 
     async def scenario(deployment):
         group = GroupId(ServiceId("stage"), PlaceId("region"))
         for entry in deployment.entries_:
             await deployment.until(entry.links_.halls_by_live_entry)
-        number, early = next(
+        number, early_entry = next(
             (number, entry)
             for number, entry in enumerate(deployment.entries_)
             if entry.stages_.groups.scheduler_of(group) != entry.settings.entry_id
         )
         for stage in deployment.stage:
             stage.call_s = 0.3
-        links = early.stages_.groups.live_entries
-        early.stages_.groups.live_entries = None
+        live_entries = early_entry.stages_.groups.live_entries
+        early_entry.stages_.groups.live_entries = None
         sent = [
             asyncio.ensure_future(
                 deployment.send("/once/x", request_id=f"r{request}", entry=number)
             )
             for request in range(8)
         ]
-        queues = early.stages_.scheduler_.queues_by_group_
+        queues = early_entry.stages_.scheduler_.queues_by_group_
         await deployment.until(lambda: len(queues.get(group, ())) > 0)
-        early.stages_.groups.live_entries = links
+        early_entry.stages_.groups.live_entries = live_entries
         await deployment.until(lambda: len(queues[group]) == 0, timeout_s=0.29)
         answers = await asyncio.gather(*sent)
         assert [answer.code for answer in answers] == [200] * 8
@@ -111,7 +112,8 @@
     async def scenario(deployment):
         first, second = deployment.entries_
         await deployment.until(lambda: first.links_.halls_by_live_entry())
-        # Only the second hall has a stage left, and its scheduler does not know it.
+        # Only the second hall still has a stage endpoint, and the scheduler there does
+        # not know of it.
         near, far = deployment.stage
         deployment.store.delete("servers", near.endpoint_id)
         known = second.state_.roster_.record(far.endpoint_id)
@@ -165,24 +167,19 @@
 
 
 def test_a_request_that_comes_while_a_stopping_entry_leaves_the_store_is_answered():
-    """A stop that found no request under way takes none that it would cut.
-
-    Symptom: a request taken 3.2 s after the signal to stop reached its endpoint and was
-    cut 1 ms later; its connection closed without an answer.
-    Sequence: the stop saw that nothing ran, then waited for the store to remove the
-    entry; a request on a kept connection was taken in that time; then the process
-    ended.
-    Cause: the check whether requests run and the end that relied on it stood on two
-    sides of a wait.
-    What settled it: the least length of a stop is 3.2 s; the request was cut 3.24 s
-    after the signal, with 4.2 s of the grace period left.
+    """A planned stop cuts no request that arrives after its check for open requests.
+
+    A stop lasts at least 3.2 s. The failure: the stop finds no request under way, then
+    waits for the store to remove the entry. Meanwhile the entry accepts a request on a
+    keep-alive connection. The process then ends, with 4.2 s of the grace period left,
+    and closes that connection without an answer.
     """
 
     async def scenario(deployment):
         entry = deployment.entries_[0]
         for endpoint in deployment.plain:
             endpoint.work_s = 0.4
-        # The request has the time of its route before the grace period ends.
+        # The timeout of the route ends before the grace period does.
         for route in deployment.config["routes"]:
             route["timeoutMs"] = 1_000
         deployment.config["version"] = 2
@@ -196,7 +193,7 @@
         writer.write(request_bytes("/unsafe/x", "r1"))
         await deployment.until(lambda: runs_of(deployment.plain, "r1"))
         await stopping
-        # The process ends here; what is still under way is cut.
+        # The process ends here, which cuts any request that is still under way.
         assert not entry.caller_server_.exchanges_
         head = await reader.readuntil(b"\r\n\r\n")
         assert b" 200 " in head
@@ -214,7 +211,7 @@
             endpoint.work_s = 0.2
         callers = entry.settings.callers
         reader, writer = await asyncio.open_connection(callers.host, callers.port)
-        # The head of the stream is written before the stop, so it does not say close.
+        # The head is written before the stop, so it has no `Connection: close`.
         writer.write(request_bytes("/once/x", "r1"))
         head = await reader.readuntil(b"\r\n\r\n")
         assert b" 200 " in head and b"Connection: close" not in head
@@ -237,11 +234,11 @@
         for stage in deployment.stage:
             stage.call_s = 2.0
         stopping = asyncio.ensure_future(entry.drain())
-        # The call ends after the least time of a stop.
+        # The call ends after the minimum duration of a stop.
         await asyncio.sleep(2.0)
         sent = asyncio.ensure_future(deployment.send("/once/x", request_id="r1"))
         await deployment.until(lambda: scheduler.calls_under_way)
-        # Its caller is one of another entry.
+        # As if its caller were connected to another entry.
         entry.caller_server_.exchanges_.clear()
         await deployment.until(lambda: not scheduler.calls_under_way)
         assert not stopping.done()
@@ -250,11 +247,11 @@
 
 
 def test_a_request_that_comes_while_a_planned_stop_waits_for_the_store_is_answered():
-    """Symptom: a request's connection was closed without an answer at a planned stop.
+    """A planned stop also waits for requests that arrive while it waits for the store.
 
-    Sequence: the store is away; nothing is under way, so the stop ends, and waits for
-    the store to forget this entry; a request comes meanwhile. Cause: what came during
-    that wait was not waited for.
+    The failure: the store is unavailable and no request is under way, so the stop waits
+    only for the store to remove the entry. A request that arrives meanwhile has its
+    connection closed without an answer.
     """
 
     async def scenario(deployment):
@@ -266,15 +263,15 @@
         retracting = asyncio.Event()
         retract = entry.members_.retract
 
-        async def tell_and_retract():
+        async def signal_and_retract():
             retracting.set()
             await retract()
 
-        entry.members_.retract = tell_and_retract
+        entry.members_.retract = signal_and_retract
         await retracting.wait()
         sent = asyncio.ensure_future(deployment.send("/unsafe/x", request_id="r1"))
         await stopping
-        # The process ends here, and with it every connection.
+        # The process ends here, which closes every connection.
         assert not entry.caller_server_.exchanges_
         # It is served, or refused without having run.
         code = (await sent).code
@@ -284,11 +281,10 @@
 
 
 def test_a_stopped_entry_reads_no_further_request():
-    """What comes after the last look of a planned stop is not passed on.
+    """A request that arrives after the last check of a planned stop is not forwarded.
 
-    Symptom: a request that came 2 ms before a process ended its planned stop was passed
-    on, and cut 52 ms later.
-    Cause: the process read its callers' connections until it was gone.
+    The failure: the process reads its callers' connections until it exits. It forwards
+    a request that arrives 2 ms before the end of the stop, and cuts it 52 ms later.
     """
 
     async def scenario(deployment):
@@ -296,7 +292,7 @@
         callers = entry.settings.callers
         reader, writer = await asyncio.open_connection(callers.host, callers.port)
         await asyncio.sleep(0.05)
-        # What the connection holds when the stop ends is not read either.
+        # Data that the connection holds when the stop ends is not read either.
         entry.stop()
         writer.write(request_bytes("/unsafe/x", "r1"))
         async with asyncio.timeout(2.0):
@@ -307,13 +303,12 @@
 
 
 def test_a_connection_accepted_as_an_entry_stops_is_not_read():
-    """What comes with a connection that the last look could not see is not passed on.
+    """A request on a connection that the last check did not cover is not forwarded.
 
-    Symptom: a request that came 3 ms before the end of a process was passed on, and cut
-    7 ms later.
-    Cause: its connection had been accepted, and was read only after the last look, when
-    the connections that were known had been closed; with links to many entries the
-    process then still ran for some milliseconds.
+    The failure: a connection is accepted before the last check of a planned stop, but
+    is read only after it, when the known connections are closed. With links to many
+    entries the process still runs for some milliseconds: it forwards a request that
+    arrives 3 ms before its end, and cuts it 7 ms later.
     """
 
     async def scenario(deployment):
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_evacuations.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""A hall that the operator evacuates gets nothing new, from any entry."""
+"""No entry sends new requests or pieces to a hall that the operator evacuates."""
 
 import asyncio
 
@@ -10,17 +10,17 @@
 EVACUATE_S = 5.0
 
 
-def in_hall(deployment, hall=HALL):
+def endpoints_in_hall(deployment, hall=HALL):
     return [e for e in deployment.all_endpoints() if e.hall == hall]
 
 
-def arrived_after(deployment, moment):
-    """Return every call that endpoints of the hall got after a moment."""
+def request_ids_after(deployment, after_s):
+    """Return the ids of requests that reached endpoints of the hall after a time."""
     return [
         arrival.request_id
-        for endpoint in in_hall(deployment)
+        for endpoint in endpoints_in_hall(deployment)
         for arrival in endpoint.arrived_
-        if arrival.at_s > moment
+        if arrival.at_s > after_s
     ]
 
 
@@ -28,7 +28,7 @@
     return asyncio.get_running_loop().time()
 
 
-async def send_some(deployment, name, *, entries, paths=("/safe/x", "/once/x")):
+async def send_requests(deployment, name, *, entries, paths=("/safe/x", "/once/x")):
     """Send some requests to each entry, and return their statuses."""
     answers = await asyncio.gather(
         *(
@@ -40,30 +40,30 @@
     return [answer.code for answer in answers]
 
 
-def evacuated_at(entry):
+def knows_evacuation(entry):
     return entry.state_.roster_.halls_.is_evacuated(HALL)
 
 
 def test_an_evacuated_hall_gets_no_requests_and_no_pieces_until_it_is_given_back():
     async def scenario(deployment):
         entries = range(3)
-        assert set(await send_some(deployment, "a", entries=entries)) == {200}
-        assert arrived_after(deployment, 0.0)
+        assert set(await send_requests(deployment, "a", entries=entries)) == {200}
+        assert request_ids_after(deployment, 0.0)
         deployment.store.put("evacuations", HALL, {})
         await deployment.until(
-            lambda: all(evacuated_at(entry) for entry in deployment.entries_)
+            lambda: all(knows_evacuation(entry) for entry in deployment.entries_)
         )
-        # What was sent before is on its way for a moment.
+        # Requests that were sent before may still be on their way.
         await asyncio.sleep(0.1)
         began_at = now()
-        assert set(await send_some(deployment, "b", entries=entries)) == {200}
-        assert arrived_after(deployment, began_at) == []
+        assert set(await send_requests(deployment, "b", entries=entries)) == {200}
+        assert request_ids_after(deployment, began_at) == []
         deployment.store.delete("evacuations", HALL)
         await deployment.until(
-            lambda: not any(evacuated_at(entry) for entry in deployment.entries_)
+            lambda: not any(knows_evacuation(entry) for entry in deployment.entries_)
         )
-        assert set(await send_some(deployment, "c", entries=entries)) == {200}
-        assert arrived_after(deployment, began_at)
+        assert set(await send_requests(deployment, "c", entries=entries)) == {200}
+        assert request_ids_after(deployment, began_at)
 
     play(scenario, entries=3, evacuate_s=EVACUATE_S)
 
@@ -75,7 +75,7 @@
         for stage in deployment.stage:
             stage.call_s = 0.15
         sent = asyncio.ensure_future(
-            send_some(deployment, "a", entries=[0], paths=("/once/x", "/resumed/x"))
+            send_requests(deployment, "a", entries=[0], paths=("/once/x", "/resumed/x"))
         )
         await asyncio.sleep(0.2)
         deployment.store.put("evacuations", HALL, {})
@@ -87,7 +87,7 @@
 def test_an_entry_that_starts_during_an_evacuation_sends_nothing_there():
     async def scenario(deployment):
         deployment.store.put("evacuations", HALL, {})
-        await deployment.until(lambda: evacuated_at(deployment.entries_[0]))
+        await deployment.until(lambda: knows_evacuation(deployment.entries_[0]))
         began_at = now()
         entry = await deployment.restart_entry(0)
         sent = []
@@ -99,7 +99,7 @@
         answers = await asyncio.gather(*sent)
         assert answers[-1].code == 200
         assert {answer.code for answer in answers} <= {200, 503}
-        assert arrived_after(deployment, began_at) == []
+        assert request_ids_after(deployment, began_at) == []
 
     play(scenario, evacuate_s=EVACUATE_S)
 
@@ -108,13 +108,13 @@
     async def scenario(deployment):
         first, second = deployment.entries_
         await deployment.until(lambda: first.links_.halls_by_live_entry())
-        # Only the first follows the store from now on.
+        # Only the first entry can reach the store from now on.
         second.client_.url = "http://127.0.0.1:9"
         await asyncio.sleep(2.5)
         deployment.store.put("evacuations", HALL, {})
-        await deployment.until(lambda: evacuated_at(second))
+        await deployment.until(lambda: knows_evacuation(second))
         deployment.store.delete("evacuations", HALL)
-        await deployment.until(lambda: not evacuated_at(second))
+        await deployment.until(lambda: not knows_evacuation(second))
 
     play(scenario, entries=2, evacuate_s=EVACUATE_S)
 
@@ -124,12 +124,14 @@
         first, second = deployment.entries_
         await deployment.until(lambda: first.links_.halls_by_live_entry())
         deployment.store.put("evacuations", HALL, {})
-        await deployment.until(lambda: evacuated_at(first) and evacuated_at(second))
+        await deployment.until(
+            lambda: knows_evacuation(first) and knows_evacuation(second)
+        )
         deployment.store.fault = StoreFault.SILENT
         restarted = await deployment.restart_entry(1)
         assert not restarted.is_ready
         await deployment.until(lambda: restarted.is_ready)
-        assert evacuated_at(restarted)
+        assert knows_evacuation(restarted)
 
     play(scenario, entries=2, evacuate_s=EVACUATE_S)
 
@@ -137,14 +139,14 @@
 def test_a_watch_that_hears_nothing_is_over_within_the_bound():
     async def scenario(deployment):
         (entry,) = deployment.entries_
-        # The watch that waits now is never answered; those after it are.
+        # The watch that is open now gets no answer; later ones do.
         deployment.store.has_deaf_watches = True
         began_at = now()
         deployment.store.put("evacuations", HALL, {})
         deployment.store.forget_history()
         await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
         deployment.store.has_deaf_watches = False
-        await deployment.until(lambda: evacuated_at(entry))
+        await deployment.until(lambda: knows_evacuation(entry))
         assert now() - began_at < EVACUATE_S
 
     play(scenario, evacuate_s=EVACUATE_S)
@@ -159,11 +161,11 @@
         deployment.put_config()
         await deployment.until(lambda: entry.state_.config_version() == 2)
         deployment.store.put("evacuations", HALL, {})
-        await deployment.until(lambda: evacuated_at(entry))
+        await deployment.until(lambda: knows_evacuation(entry))
         deployment.store.delete("evacuations", HALL)
-        await deployment.until(lambda: not evacuated_at(entry))
+        await deployment.until(lambda: not knows_evacuation(entry))
         began_at = now()
-        statuses = await send_some(
+        statuses = await send_requests(
             deployment, "a", entries=[0], paths=("/safe/x",) * 10
         )
         assert set(statuses) == {200}
@@ -181,19 +183,19 @@
         assert entry.is_ready
         deployment.store.put("evacuations", HALL, {})
         await asyncio.sleep(0.3)
-        assert not evacuated_at(entry)
+        assert not knows_evacuation(entry)
 
     play(scenario)
 
 
-FLEET = 9
+ENTRY_COUNT = 9
 
 
-async def settle(deployment):
-    """Wait until a few entries follow the store for all."""
+async def wait_for_relays(deployment):
+    """Wait until a few entries follow the store and relay its changes to all others."""
     await deployment.until(
         lambda: all(
-            len(e.members_.entries_by_id_) == FLEET
+            len(e.members_.entries_by_id_) == ENTRY_COUNT
             and e.links_.relays.has_passive_entries
             for e in deployment.entries_
         )
@@ -201,68 +203,73 @@
     await deployment.until(
         lambda: all(
             e.links_.relays.clocks_by_peer_.keys() >= e.links_.relays.followers()
-            for e in resting(deployment)
+            for e in passive_entries(deployment)
         )
     )
 
 
-def resting(deployment):
+def passive_entries(deployment):
     return [e for e in deployment.entries_ if not e.links_.relays.is_follower]
 
 
-def evacuation_calls(deployment):
-    """Note which entries ask the store for evacuations from now on."""
-    asked = []
+def record_evacuation_calls(deployment):
+    """Record which entries request evacuations from the store from now on."""
+    calling_entries = []
     for entry in deployment.entries_:
         call = entry.client_.call
 
-        async def note(path, *args, call=call, entry=entry, **fields):
+        async def record_call(path, *args, call=call, entry=entry, **fields):
             if "/evacuations" in path:
-                asked.append(entry)
+                calling_entries.append(entry)
             return await call(path, *args, **fields)
 
-        entry.client_.call = note
-    return asked
+        entry.client_.call = record_call
+    return calling_entries
 
 
 def test_in_a_fleet_only_those_that_follow_the_store_ask_for_evacuations():
     async def scenario(deployment):
-        await settle(deployment)
-        # Each entry asks once more after its first listing, which may be old, and ends
-        # the watch that it began before it knew of the others.
+        await wait_for_relays(deployment)
+        # Each entry lists again after its first listing, which may be old, and ends the
+        # watch that it opened before it knew of the other entries.
         await asyncio.sleep(WATCH_FRACTION * EVACUATE_S + 1.0)
-        asked = evacuation_calls(deployment)
+        calling_entries = record_evacuation_calls(deployment)
         followers = [e for e in deployment.entries_ if e.links_.relays.is_follower]
-        await deployment.until(lambda: len(asked) >= 3 * len(followers), timeout_s=20.0)
-        assert set(asked) <= set(followers)
+        await deployment.until(
+            lambda: len(calling_entries) >= 3 * len(followers), timeout_s=20.0
+        )
+        assert set(calling_entries) <= set(followers)
 
-    play(scenario, entries=FLEET, evacuate_s=EVACUATE_S)
+    play(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
 
 
 def test_entries_that_rest_hear_of_an_evacuation_and_of_its_end():
     async def scenario(deployment):
-        await settle(deployment)
-        for entry in resting(deployment):
+        await wait_for_relays(deployment)
+        for entry in passive_entries(deployment):
             turn_away(entry)
         deployment.store.put("evacuations", HALL, {})
-        await deployment.until(lambda: all(map(evacuated_at, deployment.entries_)))
+        await deployment.until(lambda: all(map(knows_evacuation, deployment.entries_)))
         deployment.store.delete("evacuations", HALL)
-        await deployment.until(lambda: not any(map(evacuated_at, deployment.entries_)))
+        await deployment.until(
+            lambda: not any(map(knows_evacuation, deployment.entries_))
+        )
 
-    play(scenario, entries=FLEET, evacuate_s=EVACUATE_S)
+    play(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
 
 
 def test_entries_that_rest_ask_for_evacuations_once_those_that_follow_are_deaf():
     async def scenario(deployment):
-        await settle(deployment)
+        await wait_for_relays(deployment)
         followers = [e for e in deployment.entries_ if e.links_.relays.is_follower]
         for entry in followers:
             turn_away(entry)
-        # Watches that wait already still end as the store says.
+        # Watches that are already open still end with the store's answer.
         await asyncio.sleep(WATCH_FRACTION * EVACUATE_S + 0.2)
         deployment.store.put("evacuations", HALL, {})
         await deployment.until(
-            lambda: all(map(evacuated_at, resting(deployment))), timeout_s=EVACUATE_S
+            lambda: all(map(knows_evacuation, passive_entries(deployment))),
+            timeout_s=EVACUATE_S,
         )
 
-    play(scenario, entries=FLEET, evacuate_s=EVACUATE_S)
+    play(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
