--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_backpressure.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_backpressure.py
@@ -1,11 +1,10 @@
-"""Endpoints get no more than they ask for in their answers.
-
-Two engines in need named limits of 1.4 and 1.0 requests a second in their answers, and
-entries that had passed such answers on sent them 14 and 12 requests within 4 s, where
-13 and 11 are allowed. The header was passed on to the caller, and no module read it: no
-log line of any entry told of a limit. Once it was read and recorded (event 307), all
-five entries had the limit in their records and chose the endpoint as before: the first
-test counted 78 plain requests and 81 prompts within 4 s, where 11 are allowed.
+"""Endpoints get no more requests than the limit in their answers allows.
+
+Entries that forwarded the header to the caller without reading it sent two engines with
+limits of 1.4 and 1.0 requests a second 14 and 12 requests within 4 s, where 13 and 11
+are allowed. It is not enough to record the limit either (event 307): five entries that
+knew it but ignored it in their choice of an endpoint sent 78 plain requests and 81
+prompts within 4 s, where 11 are allowed.
 """
 
 import asyncio
@@ -15,52 +14,56 @@
 
 from leadford_standins.wire import play
 
-# Requests that an endpoint bears in any window beyond one and a half times its limit.
+# In any window an endpoint may get `LIMIT_FACTOR` times what its limit allows, and
+# `LIMIT_SLACK_COUNT` requests more.
 WINDOW_S = 4.0
 LIMIT_FACTOR = 1.5
-LIMIT_SLACK = 5
-# Seconds after an entry knows of a limit from which what it sends counts.
-KNOWN_S = 0.5
+LIMIT_SLACK_COUNT = 5
+# Requests count from this long after the entries know of a limit.
+ENFORCED_AFTER_S = 0.5
 
 
 def now():
     return asyncio.get_running_loop().time()
 
 
-def most_in_a_window(endpoint, since):
-    """Return the most requests that an endpoint got in any window after a moment."""
+def max_requests_in_window(endpoint, since):
+    """Return the maximum number of requests to an endpoint in any window after `since`.
+
+    Units: since is the time of the event loop in seconds.
+    """
     times = sorted(a.at_s for a in endpoint.arrived_ if a.at_s > since)
     return max((sum(t <= s < t + WINDOW_S for s in times) for t in times), default=0)
 
 
-def allowed(limit_per_s):
-    return LIMIT_FACTOR * limit_per_s * WINDOW_S + LIMIT_SLACK
+def allowed_requests(limit_per_s):
+    return LIMIT_FACTOR * limit_per_s * WINDOW_S + LIMIT_SLACK_COUNT
 
 
-async def press(deployment, path, *, for_s, each_s=0.05):
+async def send_load(deployment, path, *, duration_s, interval_s=0.05):
     """Send requests to all entries in turn; return the statuses."""
-    until = now() + for_s
-    sent = []
+    ends_at = now() + duration_s
+    tasks = []
     for number in count():
-        if now() >= until:
+        if now() >= ends_at:
             break
         entry = number % len(deployment.entries_)
         answer = deployment.send(path, request_id=f"p{now():.4f}{number}", entry=entry)
-        sent.append(asyncio.ensure_future(answer))
-        await asyncio.sleep(each_s)
-    return [answer.code for answer in await asyncio.gather(*sent)]
+        tasks.append(asyncio.ensure_future(answer))
+        await asyncio.sleep(interval_s)
+    return [answer.code for answer in await asyncio.gather(*tasks)]
 
 
-def limits_of(entry, endpoint):
+def knows_limit(entry, endpoint):
     return entry.state_.endpoint_limits_.is_limited(endpoint.endpoint_id)
 
 
-async def until_known(deployment, path, limited):
-    """Send requests until some entry knows of a limit, and wait until all do."""
-    while not any(limits_of(entry, limited) for entry in deployment.entries_):
-        await press(deployment, path, for_s=0.1)
+async def send_until_all_know(deployment, path, limited):
+    """Send requests until one entry knows of a limit, then wait until all do."""
+    while not any(knows_limit(entry, limited) for entry in deployment.entries_):
+        await send_load(deployment, path, duration_s=0.1)
     await deployment.until(
-        lambda: all(limits_of(entry, limited) for entry in deployment.entries_)
+        lambda: all(knows_limit(entry, limited) for entry in deployment.entries_)
     )
 
 
@@ -73,12 +76,14 @@
         group = deployment.plain if path.startswith("/safe") else deployment.engines
         limited = group[0]
         limited.says_["Server-Limit"] = str(limit_per_s)
-        await until_known(deployment, path, limited)
+        await send_until_all_know(deployment, path, limited)
         began_at = now()
-        statuses = await press(deployment, path, for_s=KNOWN_S + WINDOW_S + 1.0)
+        statuses = await send_load(
+            deployment, path, duration_s=ENFORCED_AFTER_S + WINDOW_S + 1.0
+        )
         assert set(statuses) == {200}
-        most = most_in_a_window(limited, began_at + KNOWN_S)
-        assert 1 <= most <= allowed(limit_per_s)
+        max_requests = max_requests_in_window(limited, began_at + ENFORCED_AFTER_S)
+        assert 1 <= max_requests <= allowed_requests(limit_per_s)
 
     play(scenario, entries=5)
 
@@ -90,11 +95,16 @@
         await deployment.until_linked()
         limited = deployment.stage[0]
         limited.says_["Server-Limit"] = str(limit_per_s)
-        await until_known(deployment, "/once/x", limited)
+        await send_until_all_know(deployment, "/once/x", limited)
         began_at = now()
-        await press(deployment, "/once/x", for_s=KNOWN_S + WINDOW_S + 0.5, each_s=0.1)
-        most = most_in_a_window(limited, began_at + KNOWN_S)
-        assert 1 <= most <= allowed(limit_per_s)
+        await send_load(
+            deployment,
+            "/once/x",
+            duration_s=ENFORCED_AFTER_S + WINDOW_S + 0.5,
+            interval_s=0.1,
+        )
+        max_requests = max_requests_in_window(limited, began_at + ENFORCED_AFTER_S)
+        assert 1 <= max_requests <= allowed_requests(limit_per_s)
 
     play(scenario, entries=3)
 
@@ -104,16 +114,18 @@
         limited = deployment.plain[0]
         await deployment.until_linked()
         limited.says_["Server-Limit"] = "50"
-        while not limits_of(deployment.entries_[0], limited):
+        while not knows_limit(deployment.entries_[0], limited):
             await deployment.send("/safe/x", request_id=f"a{now()}")
         await deployment.until(
-            lambda: all(limits_of(entry, limited) for entry in deployment.entries_)
+            lambda: all(knows_limit(entry, limited) for entry in deployment.entries_)
         )
         del limited.says_["Server-Limit"]
-        while limits_of(deployment.entries_[0], limited):
+        while knows_limit(deployment.entries_[0], limited):
             await deployment.send("/safe/x", request_id=f"b{now()}")
         await deployment.until(
-            lambda: not any(limits_of(entry, limited) for entry in deployment.entries_)
+            lambda: (
+                not any(knows_limit(entry, limited) for entry in deployment.entries_)
+            )
         )
 
     play(scenario, entries=3)
@@ -122,11 +134,11 @@
 def test_callers_are_told_when_limited_endpoints_take_a_request_again():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            # Each takes a request in four seconds: that is the least.
+            # The minimum for each endpoint is one request in 4 s.
             endpoint.says_["Server-Limit"] = "0"
         (entry,) = deployment.entries_
-        while not all(limits_of(entry, endpoint) for endpoint in deployment.plain):
-            await press(deployment, "/safe/x", for_s=0.05)
+        while not all(knows_limit(entry, endpoint) for endpoint in deployment.plain):
+            await send_load(deployment, "/safe/x", duration_s=0.05)
         answers = await asyncio.gather(
             *(deployment.send("/safe/x", request_id=f"a{n}") for n in range(20))
         )
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_endpoints_at_rest.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_endpoints_at_rest.py
@@ -1,10 +1,10 @@
-"""An endpoint that asks an entry for rest gets nothing from it until that is over.
+"""An endpoint that sends Retry-After gets no request from an entry until that time.
 
-Engines that were short of room turned entries away with 503 and Retry-After, 3 s. One
-entry sent the same engine 8 more requests within these 3 s, another one 3, all of them
-turned away again; their callers got 503. The time was read and obeyed by no rule: a
-refusal is no failure, so the engine stayed a candidate for the next request, and an
-idle one at that.
+Engines that are short of memory refuse requests with 503 and a Retry-After of 3 s. A
+refusal is not a failure, so without a rule for Retry-After such an engine stays a
+candidate for the next request, and counts as idle. Two entries that ignored the header
+sent one engine 8 and 3 more requests within these 3 s; all were refused, and their
+callers got 503.
 """
 
 import asyncio
@@ -13,39 +13,43 @@
 
 from leadford_standins.wire import Misbehaviour, play
 
-REST_S = 2.0
-LONG_REST_S = 30.0
-# Seconds after the entry knows of a rest from which it is kept, and what may arrive.
-KNOWN_S = 0.5
-ARRIVALS_MOST = 2
+RETRY_AFTER_S = 2.0
+LONG_RETRY_AFTER_S = 30.0
+# An entry complies with a Retry-After this long after it knows of it; at most
+# `MAX_ARRIVALS` requests may arrive later all the same.
+ENFORCED_AFTER_S = 0.5
+MAX_ARRIVALS = 2
 
 
 def now():
     return asyncio.get_running_loop().time()
 
 
-def let_rest(endpoint, rest_s=REST_S):
-    """Let an endpoint turn everything away and ask for rest."""
+def refuse_with_retry_after(endpoint, retry_after_s=RETRY_AFTER_S):
+    """Make an endpoint refuse all requests and send Retry-After."""
     endpoint.next_.extend([Misbehaviour.REFUSE] * 1_000)
-    endpoint.says_["Retry-After"] = str(rest_s)
+    endpoint.says_["Retry-After"] = str(retry_after_s)
 
 
-async def press(deployment, path, *, requests, each_s):
-    """Send requests that come whether others are answered or not."""
-    sent = []
-    for number in range(requests):
+async def send_load(deployment, path, *, request_count, interval_s):
+    """Send requests at a fixed interval, without waiting for answers between them."""
+    tasks = []
+    for number in range(request_count):
         answer = deployment.send(path, request_id=f"p{now():.4f}{number}")
-        sent.append(asyncio.ensure_future(answer))
-        await asyncio.sleep(each_s)
-    return await asyncio.gather(*sent)
+        tasks.append(asyncio.ensure_future(answer))
+        await asyncio.sleep(interval_s)
+    return await asyncio.gather(*tasks)
 
 
-async def until_rest(deployment, path, endpoints):
-    """Send requests until endpoints have asked for rest; return when it is over."""
-    rests = deployment.entries_[0].state_.endpoint_retry_after_
-    while not all(rests.wait_s(e.endpoint_id, now()) > 0.0 for e in endpoints):
-        await press(deployment, path, requests=2, each_s=0.05)
-    return min(rests.until_by_id_[e.endpoint_id] for e in endpoints)
+async def send_until_retry_after_known(deployment, path, endpoints):
+    """Send requests until the entry knows the Retry-After of each of the endpoints.
+
+    Return the earliest time at which one of them ends.
+    """
+    retry_after = deployment.entries_[0].state_.endpoint_retry_after_
+    while not all(retry_after.wait_s(e.endpoint_id, now()) > 0.0 for e in endpoints):
+        await send_load(deployment, path, request_count=2, interval_s=0.05)
+    return min(retry_after.until_by_id_[e.endpoint_id] for e in endpoints)
 
 
 @pytest.mark.parametrize(
@@ -58,17 +62,17 @@
             "engine": deployment.engines,
             "stage": deployment.stage,
         }
-        resting = groups[name][0]
-        let_rest(resting)
-        over_at = await until_rest(deployment, path, [resting])
+        refusing = groups[name][0]
+        refuse_with_retry_after(refusing)
+        ends_at = await send_until_retry_after_known(deployment, path, [refusing])
         known_at = now()
-        await press(deployment, path, requests=40, each_s=0.05)
+        await send_load(deployment, path, request_count=40, interval_s=0.05)
         arrived = [
             arrival
-            for arrival in resting.arrived_
-            if known_at + KNOWN_S < arrival.at_s < over_at
+            for arrival in refusing.arrived_
+            if known_at + ENFORCED_AFTER_S < arrival.at_s < ends_at
         ]
-        assert len(arrived) <= ARRIVALS_MOST
+        assert len(arrived) <= MAX_ARRIVALS
 
     play(scenario)
 
@@ -76,13 +80,15 @@
 def test_while_all_endpoints_rest_callers_are_told_when_that_ends():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            let_rest(endpoint, LONG_REST_S)
-        await until_rest(deployment, "/safe/x", deployment.plain)
+            refuse_with_retry_after(endpoint, LONG_RETRY_AFTER_S)
+        await send_until_retry_after_known(deployment, "/safe/x", deployment.plain)
         arrivals = sum(endpoint.arrivals_ for endpoint in deployment.plain)
-        (answer,) = await press(deployment, "/safe/x", requests=1, each_s=0.0)
+        (answer,) = await send_load(
+            deployment, "/safe/x", request_count=1, interval_s=0.0
+        )
         assert answer.code == 503
-        # The request itself could wait for three seconds only.
-        assert 3.0 < float(answer.headers["Retry-After"]) <= LONG_REST_S
+        # The request itself can wait for its deadline of 3 s only.
+        assert 3.0 < float(answer.headers["Retry-After"]) <= LONG_RETRY_AFTER_S
         assert sum(endpoint.arrivals_ for endpoint in deployment.plain) == arrivals
 
     play(scenario)
@@ -91,8 +97,8 @@
 def test_endpoints_are_used_again_once_their_rest_is_over():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            let_rest(endpoint, 0.5)
-        await until_rest(deployment, "/safe/x", deployment.plain)
+            refuse_with_retry_after(endpoint, 0.5)
+        await send_until_retry_after_known(deployment, "/safe/x", deployment.plain)
         for endpoint in deployment.plain:
             endpoint.next_.clear()
         answer = await deployment.send_with_retries("/safe/x", request_id="again")
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_foreign_records.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_foreign_records.py
@@ -1,9 +1,9 @@
-"""A record of another writer names no endpoint to use, and the others hold.
+"""An invalid record of another writer is skipped, and all other records stay in use.
 
-Listings held records whose address was a number or no address: nine of ten requests got
-no answer at all, because the error of each try to connect ended the request. A number
-without bounds (`1e400`) ended the reading of the whole list, and an entry that started
-was never ready.
+Listings may contain records whose address is a number or not an address. If such a
+record counts as an endpoint, the error of each attempt to connect ends a request: nine
+of ten requests got no answer at all. If an infinite number (`1e400`) ends the reading
+of the whole list, an entry that starts never becomes ready.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 from leadford_standins.wire import play
 
-GOOD = {
+VALID_SPEC = {
     "service": "plain",
     "address": "127.0.0.1:9",
     "zone": "hall-0",
@@ -23,21 +23,21 @@
     "coldLeftMs": 0,
     "sequence": 1,
 }
-INFINITE = json.loads("1e400")
-FOREIGN = [
-    {**GOOD, "address": 5},
-    {**GOOD, "address": "nowhere"},
-    {**GOOD, "address": "127.0.0.1:99999"},
-    {**GOOD, "address": "127.0.0.1:-1"},
-    {**GOOD, "slots": INFINITE},
-    {**GOOD, "coldLeftMs": INFINITE},
-    {**GOOD, "slots": -3},
-    {**GOOD, "slots": "many"},
-    {**GOOD, "service": 5},
-    {**GOOD, "state": "resting"},
-    {**GOOD, "zone": ["hall-0"]},
-    {**GOOD, "born": 1.5},
-    {**GOOD, "born": "yesterday"},
+INFINITY = json.loads("1e400")
+INVALID_SPECS = [
+    {**VALID_SPEC, "address": 5},
+    {**VALID_SPEC, "address": "nowhere"},
+    {**VALID_SPEC, "address": "127.0.0.1:99999"},
+    {**VALID_SPEC, "address": "127.0.0.1:-1"},
+    {**VALID_SPEC, "slots": INFINITY},
+    {**VALID_SPEC, "coldLeftMs": INFINITY},
+    {**VALID_SPEC, "slots": -3},
+    {**VALID_SPEC, "slots": "many"},
+    {**VALID_SPEC, "service": 5},
+    {**VALID_SPEC, "state": "resting"},
+    {**VALID_SPEC, "zone": ["hall-0"]},
+    {**VALID_SPEC, "born": 1.5},
+    {**VALID_SPEC, "born": "yesterday"},
     {"service": "plain"},
     {},
     [],
@@ -46,7 +46,7 @@
 ]
 
 
-@pytest.mark.parametrize("spec", FOREIGN, ids=lambda spec: json.dumps(spec)[-40:])
+@pytest.mark.parametrize("spec", INVALID_SPECS, ids=lambda spec: json.dumps(spec)[-40:])
 def test_a_record_of_another_writer_costs_no_request(spec):
     async def scenario(deployment):
         deployment.store.put("servers", "foreign", spec)
@@ -57,9 +57,11 @@
             assert answer.code == 200
         records = deployment.entries_[0].state_.roster_.records_by_id_
         assert "foreign" not in records
-        again = await deployment.restart_entry(0)
-        await deployment.until(lambda: again.is_ready and deployment.knows_all(again))
-        assert "foreign" not in again.state_.roster_.records_by_id_
+        restarted = await deployment.restart_entry(0)
+        await deployment.until(
+            lambda: restarted.is_ready and deployment.knows_all(restarted)
+        )
+        assert "foreign" not in restarted.state_.roster_.records_by_id_
 
     play(scenario)
 
@@ -67,7 +69,7 @@
 def test_an_endpoint_whose_record_cannot_be_read_any_more_is_not_used():
     async def scenario(deployment):
         first, second = deployment.plain
-        deployment.store.put("servers", first.endpoint_id, {**GOOD, "address": 5})
+        deployment.store.put("servers", first.endpoint_id, {**VALID_SPEC, "address": 5})
         await asyncio.sleep(0.4)
         for number in range(10):
             answer = await deployment.send("/safe/x", request_id=f"r{number}")
@@ -108,7 +110,7 @@
             "servers", first.endpoint_id, {**first.spec(), "born": 2_000}
         )
         await asyncio.sleep(0.4)
-        # A write that the store took long after it was sent.
+        # The store applies this write long after it was sent.
         deployment.store.put(
             "servers", first.endpoint_id, {**first.spec("draining"), "born": 1_000}
         )
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
@@ -1,7 +1,7 @@
-"""Entries tell each other soon what has to be known, and otherwise only that they live.
+"""Entries send every heartbeat only on links that carry news, fewer on all others.
 
-The load pattern is a large fleet at rest: most links join entries that have nothing to
-tell each other.
+The tests cover an idle fleet, in which most links connect entries that have no news for
+each other.
 """
 
 from collections import Counter
@@ -11,94 +11,98 @@
 from leadford.protocol import PROTOCOL_UNTOLD, EntryHeartbeat
 from leadford_standins.wire import play
 
-ENTRIES = 9
-# Heartbeats of an entry that are watched, and those that may be under way at the ends.
-BEATS = 12
-AT_ENDS = 2
+ENTRY_COUNT = 9
+# Heartbeats of each entry that are counted, and how many of them may be in flight when
+# the count starts or ends.
+HEARTBEAT_COUNT = 12
+MAX_IN_FLIGHT_COUNT = 2
 
 
-def made_by_id(deployment):
-    """Return how many heartbeats each entry has made."""
+def heartbeat_counts_by_id(deployment):
+    """Return the number of heartbeats that each entry has made."""
     entries = deployment.entries_
     return {e.links_.entry_id: e.links_.heartbeats.heartbeat_count_ for e in entries}
 
 
 async def count_heartbeats(deployment):
-    """Return which part of its heartbeats each entry sent to each other one."""
-    heard = Counter()
-    began = made_by_id(deployment)
+    """Return per sender and receiver the heartbeats received and those made."""
+    received = Counter()
+    initial = heartbeat_counts_by_id(deployment)
     for entry in deployment.entries_:
         links = entry.links_
         handle = links.handlers_[EntryHeartbeat]
 
         def count(peer, message, links=links, handle=handle):
-            heard[peer.info.peer_id, links.entry_id] += 1
+            received[peer.info.peer_id, links.entry_id] += 1
             handle(peer, message)
 
         links.handlers_[EntryHeartbeat] = count
     await deployment.until(
         lambda: all(
-            made - began[entry_id] >= BEATS
-            for entry_id, made in made_by_id(deployment).items()
+            made - initial[entry_id] >= HEARTBEAT_COUNT
+            for entry_id, made in heartbeat_counts_by_id(deployment).items()
         ),
         timeout_s=20.0,
     )
-    made = made_by_id(deployment)
+    made = heartbeat_counts_by_id(deployment)
     return {
-        pair: (count, made[pair[0]] - began[pair[0]]) for pair, count in heard.items()
+        pair: (count, made[pair[0]] - initial[pair[0]])
+        for pair, count in received.items()
     }
 
 
-def settled(deployment):
-    """Tell whether every entry holds the links that it wants, and all agree."""
-    views = {frozenset(schedulers(entry)) for entry in deployment.entries_}
+def is_settled(deployment):
+    """Return whether all entries have their links and agree on the schedulers."""
+    views = {frozenset(scheduler_ids(entry)) for entry in deployment.entries_}
     return len(views) == 1 and all(
         entry.links_.fleet.peers_to_link() <= set(entry.links_.peers_by_id_)
         for entry in deployment.entries_
     )
 
 
-def schedulers(entry):
+def scheduler_ids(entry):
     groups = entry.links_.fleet.stage_groups()
     return {entry.links_.stages.groups.scheduler_of(group) for group in groups}
 
 
 def test_only_links_on_which_something_is_told_get_every_heartbeat():
     async def scenario(deployment):
-        await deployment.until(lambda: settled(deployment))
-        at_work = schedulers(deployment.entries_[0])
+        await deployment.until(lambda: is_settled(deployment))
+        active_ids = scheduler_ids(deployment.entries_[0])
         followers = {
             entry.links_.entry_id
             for entry in deployment.entries_
             if entry.links_.relays.is_follower
         }
-        heard = await count_heartbeats(deployment)
-        resting = [
+        received = await count_heartbeats(deployment)
+        idle_counts = [
             counts
-            for pair, counts in heard.items()
-            if not (at_work | followers).intersection(pair)
+            for pair, counts in received.items()
+            if not (active_ids | followers).intersection(pair)
         ]
-        busy = [counts for pair, counts in heard.items() if at_work.intersection(pair)]
-        assert resting
-        assert busy
-        assert all(sent <= made / 2 + AT_ENDS for sent, made in resting)
-        assert all(sent >= made - AT_ENDS for sent, made in busy)
-        # Nobody counts as dead for it.
+        busy_counts = [
+            counts for pair, counts in received.items() if active_ids.intersection(pair)
+        ]
+        assert idle_counts
+        assert busy_counts
+        assert all(sent <= made / 2 + MAX_IN_FLIGHT_COUNT for sent, made in idle_counts)
+        assert all(sent >= made - MAX_IN_FLIGHT_COUNT for sent, made in busy_counts)
+        # No entry counts as dead because of fewer heartbeats.
         for entry in deployment.entries_:
             live = set(entry.links_.halls_by_live_entry())
             assert live == set(entry.links_.peers_by_id_)
 
-    play(scenario, entries=ENTRIES)
+    play(scenario, entries=ENTRY_COUNT)
 
 
 def test_an_older_build_gets_every_heartbeat():
     async def scenario(deployment):
-        await deployment.until(lambda: settled(deployment))
-        at_work = schedulers(deployment.entries_[0])
+        await deployment.until(lambda: is_settled(deployment))
+        active_ids = scheduler_ids(deployment.entries_[0])
         entry = next(
             e
             for e in deployment.entries_
-            if e.links_.entry_id not in at_work and not e.links_.relays.is_follower
+            if e.links_.entry_id not in active_ids and not e.links_.relays.is_follower
         )
         sent = Counter()
         for peer in entry.links_.peers_by_id_.values():
@@ -112,20 +116,22 @@
                 return send(message)
 
             peer.send = count
-        began = entry.links_.heartbeats.heartbeat_count_
+        initial = entry.links_.heartbeats.heartbeat_count_
         await deployment.until(
-            lambda: entry.links_.heartbeats.heartbeat_count_ >= began + BEATS
+            lambda: (
+                entry.links_.heartbeats.heartbeat_count_ >= initial + HEARTBEAT_COUNT
+            )
         )
-        assert min(sent.values()) >= BEATS
+        assert min(sent.values()) >= HEARTBEAT_COUNT
 
-    play(scenario, entries=ENTRIES)
+    play(scenario, entries=ENTRY_COUNT)
 
 
 def test_entries_of_a_region_with_stages_hold_no_links_for_the_region_alone():
     async def scenario(deployment):
-        await deployment.until(lambda: settled(deployment))
-        # Two candidates for the stage, two for the engines, two neighbours.
+        await deployment.until(lambda: is_settled(deployment))
+        # At most two candidates for the stage, two for the engines and two neighbours.
         for entry in deployment.entries_:
             assert len(entry.links_.fleet.peers_to_link()) <= 6
 
-    play(scenario, entries=ENTRIES)
+    play(scenario, entries=ENTRY_COUNT)
