--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
@@ -72,9 +72,9 @@
 def test_pieces_queued_before_entries_found_each_other_go_to_the_scheduler():
     """Pieces move to the group's scheduler once the entries have links.
 
-    Until then each entry schedules its own pieces. If it kept them in its queue after
-    that, urgent pieces would wait for seconds, because the group's scheduler keeps the
-    endpoints fully occupied.
+    After a restart of all entries each one schedules its own pieces until it has links.
+    If it kept them in its queue after that, urgent pieces would wait for seconds,
+    because the group's scheduler keeps the endpoints fully occupied.
     """
 
     async def scenario(deployment):
@@ -171,8 +171,8 @@
 
     A stop lasts at least 3.2 s. The failure: the stop finds no request under way, then
     waits for the store to remove the entry. Meanwhile the entry accepts a request on a
-    keep-alive connection. The process then ends, with 4.2 s of the grace period left,
-    and closes that connection without an answer.
+    keep-alive connection. The process then ends 3.24 s after the signal to stop, with
+    4.2 s of the grace period left, and closes that connection without an answer.
     """
 
     async def scenario(deployment):
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Entries send every heartbeat only on links that carry news, fewer on all others.
+"""Entries send every heartbeat on links that carry news, and fewer on all others.
 
 The tests cover an idle fleet, in which most links connect entries that have no news for
 each other.
