--- a/packages/leadford/src/leadford/pipelines/claims/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claim keys in the platform's store, so that a marked request runs at most once."""
+"""Claim idempotency keys in the platform's store: a keyed request runs at most once."""
 
 from leadford.pipelines.claims._keys import request_id_for_key, shard_of
 from leadford.pipelines.claims._log import (
--- a/packages/leadford/src/leadford/pipelines/claims/_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_log.py
@@ -1,9 +1,9 @@
 """Append claims to a ring of store objects by conditional update.
 
-A shard's log is a ring of slots. Only the tail slot is appended to, and a slot is
-closed by its content alone, so two writers always meet on the same object and the
-store lets one of them win. A slot is overwritten only once all in it is older than
-the retention.
+The log of a shard is a ring of slots. Claims are appended to the tail slot only, and
+whether a slot is closed depends on its content alone. Two writers therefore always
+update the same object, and the store accepts only one of the two updates. A slot is
+overwritten only when all of its claims are older than the retention.
 """
 
 from collections import OrderedDict
@@ -14,16 +14,16 @@
 
 from leadford.common import RequestId
 
-# Claims after which a slot is closed, a part of the stored form: every writer must hold
-# the same; docs/design/at-most-once.md.
+# Number of claims that closes a slot. It is a part of the stored form: all writers must
+# use the same value; see docs/design/at-most-once.md.
 SLOT_CLAIMS_MAX = 400
-# Seconds by which clocks of entries may differ; a slot is overwritten only so much
-# after the retention.
+# Largest difference between the clocks of entries. A slot is overwritten only when this
+# time has passed after the retention.
 CLOCK_SKEW_S = 30.0
 
 
 class ClaimBatch(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the claims of one write.
+    """Hold the claims that one write appends.
 
     Units: at_s is seconds of Unix time at the writer.
     """
@@ -34,25 +34,28 @@
 
 
 class ClaimSlot(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the content of one ring object."""
+    """Hold the content of one store object of the ring."""
 
     position: int
     batches: tuple[ClaimBatch, ...]
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether the next claim goes to the next slot."""
+        """Return whether the slot is full, so that claims go to the next slot."""
         count = sum(len(batch.claim_ids_by_request) for batch in self.batches)
         return count >= SLOT_CLAIMS_MAX
 
     @property
     def newest_at_s(self) -> float:
-        """Return when the slot was last appended to."""
+        """Return the time of the newest batch, 0 without batches.
+
+        Units: seconds of Unix time at the writer.
+        """
         return max((batch.at_s for batch in self.batches), default=0.0)
 
 
 class SlotView(msgspec.Struct, frozen=True):
-    """Hold what the store answered for a slot; version 0 stands for no object."""
+    """Hold a slot as read from the store; version 0 means that no object exists."""
 
     version: int
     slot: ClaimSlot | None
@@ -69,19 +72,19 @@
 
 
 class ClaimsFullError(Exception):
-    """Tell that the next slot still holds claims within the retention."""
+    """Report that the next slot still holds claims within the retention."""
 
 
 def decode_slot(data: bytes) -> ClaimSlot:
-    """Return the slot in an object; a corrupt one breaks an invariant."""
+    """Decode the slot in a store object; a corrupt object raises an exception."""
     return msgspec.convert(cbor2.loads(data), ClaimSlot)
 
 
 class ClaimLog:
-    """Follow one shard's log and build the writes that append to it.
+    """Track one shard's log and build the writes that append to it.
 
-    The driver reads the slots that `wanted_slot` names until it is None, then
-    writes; a conflict or a lost answer sends it back to reading.
+    The caller reads the slots that `wanted_position` returns until it returns None,
+    then writes. After a conflict or a lost answer it must read again.
     """
 
     def __init__(self, *, shard: int, ring: int, retention_s: float) -> None:
@@ -92,45 +95,45 @@
         self.claimed_at_: dict[str, float] = {}
         self.batch_ids_: set[str] = set()
         self.tail_position_ = 0
-        self.tail_: SlotView | None = None
+        self.tail_view_: SlotView | None = None
         self._search_low = 0
         self._search_high = ring - 1
         self._search_lap: int | None = None
-        self._backfill: int | None = None
-        self._found = False
+        self._backfill_position: int | None = None
+        self._tail_found = False
 
     def slot_name(self, position: int) -> str:
-        """Return the store object that holds a position."""
+        """Return the name of the store object that holds a position."""
         return f"claims/{self.shard}/{position % self.ring}"
 
     def wanted_position(self) -> int | None:
-        """Return the position to read next, or None when all is known."""
-        if not self._found:
+        """Return the position to read next, or None when the log is up to date."""
+        if not self._tail_found:
             if self._search_lap is None:
                 return 0
             return (self._search_low + self._search_high + 1) // 2
-        if self._backfill is not None:
-            return self._backfill
-        if self.tail_ is None:
+        if self._backfill_position is not None:
+            return self._backfill_position
+        if self.tail_view_ is None:
             return self.tail_position_
         return None
 
     def record_read(self, position: int, view: SlotView, now_s: float) -> None:
-        """Record the slot that was read for a wanted position."""
-        if not self._found:
+        """Record the slot that was read at a wanted position."""
+        if not self._tail_found:
             self._search(position, view)
             return
-        if self._backfill is not None:
+        if self._backfill_position is not None:
             self._record_backfill(view, now_s)
             return
         self._record_tail(view)
 
     def _search(self, position: int, view: SlotView) -> None:
-        # The slots of the newest lap form a prefix of the ring, so its end is found
-        # by bisection.
+        # The slots of the newest lap form a prefix of the ring, so bisection finds the
+        # end of the lap.
         if self._search_lap is None:
             if view.slot is None:
-                self._found = True
+                self._tail_found = True
                 return
             self._search_lap = view.slot.position // self.ring
         else:
@@ -141,35 +144,35 @@
             else:
                 self._search_high = position - 1
         if self._search_low >= self._search_high:
-            self._found = True
+            self._tail_found = True
             self.tail_position_ = self._search_lap * self.ring + self._search_low
             if self.tail_position_ > 0:
-                self._backfill = self.tail_position_ - 1
+                self._backfill_position = self.tail_position_ - 1
 
     def _record_backfill(self, view: SlotView, now_s: float) -> None:
-        position = self._backfill
+        position = self._backfill_position
         slot = view.slot
         expired = slot is None or slot.position > position
         if not expired:
             self._merge(slot)
             expired = now_s - slot.newest_at_s > self.retention_s + CLOCK_SKEW_S
-        # Going back further than a lap would meet the tail again.
+        # More than one lap back, the ring leads to the tail again.
         at_end = position == 0 or self.tail_position_ - position >= self.ring - 1
-        self._backfill = None if expired or at_end else position - 1
+        self._backfill_position = None if expired or at_end else position - 1
 
     def _record_tail(self, view: SlotView) -> None:
         slot = view.slot
         is_current = slot is not None and slot.position >= self.tail_position_
         if not is_current:
-            self.tail_ = view
+            self.tail_view_ = view
             return
         self.tail_position_ = slot.position
         self._merge(slot)
         if slot.is_closed:
             self.tail_position_ += 1
-            self.tail_ = None
+            self.tail_view_ = None
             return
-        self.tail_ = view
+        self.tail_view_ = view
 
     def _merge(self, slot: ClaimSlot) -> None:
         for batch in slot.batches:
@@ -177,20 +180,20 @@
                 continue
             self.batch_ids_.add(batch.batch_id)
             for request_id, claim_id in batch.claim_ids_by_request.items():
-                # The first claim of a request stands.
+                # The first claim of a request wins.
                 self.claim_ids_by_request_.setdefault(request_id, claim_id)
                 self.claimed_at_.setdefault(request_id, batch.at_s)
 
     def holder(self, request_id: RequestId) -> str | None:
-        """Return the claim id that holds a request, as far as the log is known."""
+        """Return the claim id that holds a request, or None if none is known."""
         return self.claim_ids_by_request_.get(request_id)
 
     def forget_expired(self, now_s: float) -> None:
-        """Drop claims that are older than the retention."""
-        limit = now_s - self.retention_s - 2 * CLOCK_SKEW_S
+        """Remove claims older than the retention plus twice the clock skew."""
+        cutoff_s = now_s - self.retention_s - 2 * CLOCK_SKEW_S
         while self.claim_ids_by_request_:
             request_id = next(iter(self.claim_ids_by_request_))
-            if self.claimed_at_[request_id] >= limit:
+            if self.claimed_at_[request_id] >= cutoff_s:
                 return
             del self.claim_ids_by_request_[request_id]
             del self.claimed_at_[request_id]
@@ -200,11 +203,11 @@
     ) -> Result[ClaimWrite, ClaimsFullError]:
         """Return the update that appends a batch to the tail.
 
-        Errors: the ring is full of claims within the retention.
+        Errors: the next slot still holds claims within the retention.
         """
         if self.wanted_position() is not None:
-            raise AssertionError("the log was written before it was read")
-        view = self.tail_
+            raise AssertionError("next_write was called before the tail slot was read")
+        view = self.tail_view_
         batches: tuple[ClaimBatch, ...] = ()
         if view.slot is not None and view.slot.position == self.tail_position_:
             batches = view.slot.batches
@@ -218,14 +221,14 @@
         return Success(ClaimWrite(name, view.version, data, batch, slot))
 
     def record_written(self, write: ClaimWrite, version: int) -> None:
-        """Record that a write took effect with a new version."""
-        self.tail_ = None
+        """Record that the store applied a write and returned a new version."""
+        self.tail_view_ = None
         self._record_tail(SlotView(version, write.slot))
 
     def record_in_doubt(self) -> None:
-        """Record a conflict or a lost answer: the tail must be read again."""
-        self.tail_ = None
+        """Record a conflict or a lost answer, so that the tail is read again."""
+        self.tail_view_ = None
 
     def has_batch(self, batch_id: str) -> bool:
-        """Tell whether a batch stands in the log."""
+        """Return whether a batch is known to be in the log."""
         return batch_id in self.batch_ids_
--- a/packages/leadford/src/leadford/pipelines/claims/_pace.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_pace.py
@@ -1,30 +1,30 @@
-"""Pace writes to the store, slower while it is slow or refusing.
+"""Limit the rate of writes to the store, and lower it while the store is slow or fails.
 
-Held by the claim writer of an entry (`leadford_server.pipelines.entry`). It changes the
-rate of writes only.
+Used by the claim writer of an entry (`leadford_server.pipelines.entry`). It affects
+only the rate of writes.
 """
 
 from leadford.common import TokenBucket
 
-# Seconds after which an answer of the store counts as slow.
+# An answer of the store that takes longer counts as slow.
 SLOW_ANSWER_S = 0.25
-# Least part of the budgeted rate, and the factors after a good and after a bad answer.
-# With a floor of 0.1 and a recovery of 1.1 the rate took 24 good answers to come back
-# (a test with processes).
-PACE_FLOOR = 0.25
-RECOVERY = 2.0
-BACKOFF = 0.5
+# Smallest factor on the configured rate, and what a good answer and a slow or failed
+# one multiply the factor by. With a minimum of 0.1 and a recovery factor of 1.1, the
+# full rate returns only after 24 good answers.
+RATE_FACTOR_MIN = 0.25
+RECOVERY_FACTOR = 2.0
+BACKOFF_FACTOR = 0.5
 
 
 class WritePace:
-    """Allow writes at a budgeted rate that shrinks with trouble and recovers.
+    """Limit writes to a rate that falls after slow or failed answers and recovers.
 
-    Units: rate_per_s is writes a second.
+    Units: rate_per_s is writes per second.
     """
 
     def __init__(self, *, rate_per_s: float, burst: float = 2.0) -> None:
         self.rate_per_s = rate_per_s
-        self.factor_ = 1.0
+        self.rate_factor_ = 1.0
         self.bucket_ = TokenBucket(rate_per_s=rate_per_s, burst=burst)
 
     def wait_s(self, now: float) -> float:
@@ -32,13 +32,13 @@
         return self.bucket_.wait_s(now)
 
     def try_take(self, now: float) -> bool:
-        """Take the right to one write."""
+        """Consume the token for one write; return whether there was one."""
         return self.bucket_.try_take(now)
 
     def record_answer(self, elapsed_s: float, ok: bool) -> None:
-        """Adapt to how the store answered."""
+        """Adjust the rate to the duration and the success of a write."""
         if not ok or elapsed_s > SLOW_ANSWER_S:
-            self.factor_ = max(PACE_FLOOR, self.factor_ * BACKOFF)
+            self.rate_factor_ = max(RATE_FACTOR_MIN, self.rate_factor_ * BACKOFF_FACTOR)
         else:
-            self.factor_ = min(1.0, self.factor_ * RECOVERY)
-        self.bucket_.rate_per_s = self.rate_per_s * self.factor_
+            self.rate_factor_ = min(1.0, self.rate_factor_ * RECOVERY_FACTOR)
+        self.bucket_.rate_per_s = self.rate_per_s * self.rate_factor_
--- a/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Two writers, lost answers and a wrapped ring must never grant a key twice."""
+"""No key is granted twice with several writers, lost answers or a wrapped ring."""
 
 from random import Random
 
@@ -20,11 +20,11 @@
 
 
 class FakeStore:
-    """Hold versioned objects as the platform does."""
+    """Store versioned objects with conditional updates, as the platform does."""
 
     def __init__(self):
         self.objects_by_name = {}
-        self.versions = 0
+        self.last_version = 0
 
     def read(self, name):
         version, data = self.objects_by_name.get(name, (0, None))
@@ -34,18 +34,18 @@
         version, _ = self.objects_by_name.get(write.name, (0, None))
         if version != write.expected_version:
             return None
-        self.versions += 1
-        self.objects_by_name[write.name] = (self.versions, write.data)
-        return self.versions
+        self.last_version += 1
+        self.objects_by_name[write.name] = (self.last_version, write.data)
+        return self.last_version
 
 
 class Writer:
-    """Drive one log against a store, one call at a time."""
+    """Read and append one log in a store, one call at a time."""
 
     def __init__(self, store, ring=8):
         self.store = store
         self.log = ClaimLog(shard=0, ring=ring, retention_s=RETENTION_S)
-        self.batches = 0
+        self.batch_count = 0
 
     def catch_up(self, now_s):
         reads = 0
@@ -62,8 +62,8 @@
             holder = self.log.holder(request_id)
             if holder is not None:
                 return holder == claim_id
-            batch_id = f"{id(self)}-{self.batches}"
-            self.batches += 1
+            batch_id = f"{id(self)}-{self.batch_count}"
+            self.batch_count += 1
             batch = ClaimBatch(batch_id, now_s, {request_id: claim_id})
             built = self.log.next_write(batch, now_s)
             if isinstance(built, Failure):
@@ -75,7 +75,7 @@
                 continue
             self.log.record_written(built.unwrap(), version)
             return True
-        raise AssertionError("the log never settled")
+        raise AssertionError("the claim was not settled after 10 tries")
 
 
 def test_one_of_two_writers_wins_a_key():
@@ -91,7 +91,7 @@
     store = FakeStore()
     writer = Writer(store)
     assert writer.claim("k1", "a", 0.0, lost=True)
-    assert store.versions == 1
+    assert store.last_version == 1
 
 
 def test_a_paused_writer_meets_what_was_written_meanwhile():
@@ -139,10 +139,10 @@
     writers = [Writer(store, ring=8) for _ in range(3)]
     granted_at = {}
     now_s = 0.0
-    for index, (who, key, lost, pause_s) in enumerate(steps):
+    for index, (writer_index, key, lost, pause_s) in enumerate(steps):
         now_s += pause_s * 0.1
-        claim_id = f"{who}-{index}"
-        if not writers[who].claim(f"k{key}", claim_id, now_s, lost):
+        claim_id = f"{writer_index}-{index}"
+        if not writers[writer_index].claim(f"k{key}", claim_id, now_s, lost):
             continue
         previous = granted_at.get(key, float("-inf"))
         assert now_s - previous > RETENTION_S
--- a/packages/leadford/src/leadford/pipelines/claims/tests/test_stored_form.py
+++ b/packages/leadford/src/leadford/pipelines/claims/tests/test_stored_form.py
@@ -1,11 +1,11 @@
-"""Claims that stores hold are read, and written the same."""
+"""Stored claims can be read, and are written in the same form."""
 
 import cbor2
 import msgspec
 
 from leadford.pipelines.claims import decode_slot
 
-# Kept as bytes: another form would let a keyed request run twice during an upgrade.
+# Fixed bytes: a changed form would let a keyed request run twice during an upgrade.
 SLOT = bytes.fromhex(
     "820c828363622d31fb41d954fc40200000a26272316263316272326263328363622d32fb41d9"
     "54fc40400000a1627233626333"
--- a/packages/leadford/src/leadford/pipelines/membership/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Know which endpoints can be used, from the host list and from direct evidence."""
+"""Decide which endpoints are usable, from the host list and lost connections."""
 
 from leadford.pipelines.membership._halls import HallMonitor
 from leadford.pipelines.membership._hosts import HostState, HostTable
--- a/packages/leadford/src/leadford/pipelines/membership/tests/test_membership.py
+++ b/packages/leadford/src/leadford/pipelines/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Subsets are balanced and steady; drains count at once; a hall is one event."""
+"""Subsets are balanced and stable; the loss of a hall is reported as one event."""
 
 from collections import Counter
 
