--- a/packages/leadford/src/leadford/pipelines/placement/_lease.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_lease.py
@@ -1,7 +1,7 @@
-"""Hold the right to plan a pool by conditional updates of the plan's own object.
+"""Lease the right to plan a pool by conditional updates of the plan's own object.
 
-Asked by the planner of each entry (`leadford_server.pipelines.entry`). `PlanRecord` is
-a stored form: its fields and their names are read by running and older processes.
+Used by the planner of each entry (`leadford_server.pipelines.entry`). `PlanRecord` is
+a stored form: running processes of this and older versions read its fields by name.
 """
 
 import cbor2
@@ -10,9 +10,9 @@
 from leadford.common import EntryId
 from leadford.pipelines.placement._planner import Plan
 
-# Seconds for which a lease holds, and after which its holder renews it.
+# Duration of a lease, and the interval at which its holder renews it.
 LEASE_S = 15.0
-RENEW_S = 5.0
+RENEW_INTERVAL_S = 5.0
 
 
 class PlanRecord(msgspec.Struct, frozen=True):
@@ -31,16 +31,16 @@
 
 
 def decode_plan(data: bytes) -> PlanRecord:
-    """Return the record in a stored form; a corrupt one breaks an invariant."""
+    """Decode a stored record; a corrupt one raises an exception."""
     return msgspec.convert(cbor2.loads(data), PlanRecord)
 
 
 class PlanningLease:
     """Decide from the stored record whether this entry may write the next one.
 
-    The lease only keeps two planners from working against each other. Safety comes
-    from the update being conditional: one made from an older record fails, and agents
-    obey the store's version of the object as a fence.
+    The lease only prevents two planners from undoing each other's plans. Safety comes
+    from conditional updates: an update that is based on an older record fails, and
+    agents use the store's version of the object as a fencing token.
     """
 
     def __init__(self, *, entry_id: EntryId, lease_s: float = LEASE_S) -> None:
@@ -48,18 +48,18 @@
         self.lease_s = lease_s
 
     def may_write(self, record: PlanRecord | None, now_s: float) -> bool:
-        """Tell whether the record is this entry's to replace."""
+        """Return whether this entry may replace the record."""
         if record is None or record.holder == self.entry_id:
             return True
         return now_s > record.until_s
 
     def must_write(self, record: PlanRecord | None, plan: Plan, now_s: float) -> bool:
-        """Tell whether a plan or the lease needs a write now."""
+        """Return whether a changed plan or the lease requires a write now."""
         if record is None or record.holder != self.entry_id:
             return True
         if plan != record.plan:
             return True
-        return record.until_s - now_s < self.lease_s - RENEW_S
+        return record.until_s - now_s < self.lease_s - RENEW_INTERVAL_S
 
     def next_record(self, plan: Plan, now_s: float) -> PlanRecord:
         """Return the record to write."""
--- a/packages/leadford/src/leadford/pipelines/placement/_orders.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_orders.py
@@ -1,8 +1,10 @@
-"""Turn plans into orders to one engine, never two that contradict in doubt.
+"""Turn plans into orders to one engine.
 
-Held by the agent of an engine, which asks for the next order whenever a plan came or
-the engine said what it holds. An order carries the version of the plan's stored object
-as a fence; an engine that checks it refuses orders of older plans itself.
+Used by the agent of an engine, which asks for the next order whenever it receives a
+plan or the engine reports its models. An order carries the version of the plan's stored
+object as a fencing token; an engine that checks it refuses orders of older plans.
+While the outcome of an order is unknown, no contradicting order is sent to an engine
+that does not check it.
 """
 
 from enum import Enum
@@ -11,19 +13,19 @@
 
 from leadford.pipelines.placement._planner import ModelCopy
 
-# Seconds after which an order without an answer can no longer arrive.
-DOUBT_S = 5.0
+# Time after which an unanswered order can no longer reach the engine.
+ORDER_LIFETIME_S = 5.0
 
 
 class OrderKind(Enum):
-    """Name what an engine is told."""
+    """Name the action that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class OrderStep(msgspec.Struct, frozen=True):
-    """Hold one order and the fence it carries."""
+    """Hold one order and its fencing token."""
 
     kind: OrderKind
     copy: ModelCopy
@@ -31,21 +33,24 @@
 
 
 class OrderSequence:
-    """Give one order at a time, from the newest plan only.
+    """Return one order at a time, from the newest plan only.
 
-    An engine that does not check fences may still obey an order whose answer was lost.
-    A contrary order therefore waits until that one can no longer arrive.
+    An engine that does not check fencing tokens may still execute an order whose answer
+    was lost. Further orders for the same model therefore wait until the lost one can no
+    longer arrive.
     """
 
-    def __init__(self, *, checks_fences: bool, doubt_s: float = DOUBT_S) -> None:
+    def __init__(
+        self, *, checks_fences: bool, order_lifetime_s: float = ORDER_LIFETIME_S
+    ) -> None:
         self.checks_fences = checks_fences
-        self.doubt_s = doubt_s
+        self.order_lifetime_s = order_lifetime_s
         self.fence_ = 0
         self.wanted_: frozenset[ModelCopy] = frozenset()
-        self.doubtful_until_: dict[str, float] = {}
+        self.in_doubt_until_by_model_: dict[str, float] = {}
 
     def offer(self, fence: int, wanted: frozenset[ModelCopy]) -> bool:
-        """Take a plan unless it is older than the one that is obeyed."""
+        """Adopt a plan and return True, unless it is older than the current one."""
         if fence < self.fence_:
             return False
         self.fence_ = fence
@@ -53,19 +58,19 @@
         return True
 
     def next_step(self, holds: frozenset[ModelCopy], now: float) -> OrderStep | None:
-        """Return the next order for an engine that holds these copies."""
+        """Return the next order for an engine that holds the given copies."""
         if not self.fence_:
             return None
-        # Loads go first: what replaces a copy must serve before the copy goes.
+        # Loads come first: a replacement must serve before the old copy is unloaded.
         steps = [(OrderKind.LOAD, copy) for copy in sorted(self.wanted_ - holds)]
         steps += [(OrderKind.UNLOAD, copy) for copy in sorted(holds - self.wanted_)]
         for kind, copy in steps:
-            if now < self.doubtful_until_.get(copy.model, 0.0):
+            if now < self.in_doubt_until_by_model_.get(copy.model, 0.0):
                 continue
             return OrderStep(kind, copy, self.fence_)
         return None
 
     def record_lost(self, step: OrderStep, now: float) -> None:
-        """Record that an order was not answered."""
+        """Record that no answer to an order arrived."""
         if not self.checks_fences:
-            self.doubtful_until_[step.copy.model] = now + self.doubt_s
+            self.in_doubt_until_by_model_[step.copy.model] = now + self.order_lifetime_s
--- a/packages/leadford/src/leadford/pipelines/placement/_planner.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_planner.py
@@ -1,8 +1,8 @@
-"""Plan a pool: who holds which model version, in small safe steps.
+"""Plan in small safe steps which engine of a pool holds which model versions.
 
-Asked by the entry that holds the planning lease of the pool (`_lease`), with what the
-engines report. The plan is stored; agents turn it into orders (`_orders`). What a copy
-costs to load is paid from a bucket at the rate of the weight store.
+Used by the entry that holds the planning lease of the pool (`_lease`), with the reports
+of the engines. The plan is stored; agents turn it into orders (`_orders`). A token
+bucket limits loads to the rate of the weight store.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 from leadford.common import EndpointId, HallId, TokenBucket, rendezvous_weight
 from leadford.pipelines.config import ModelConfig
 
-# Part of a pool's engines that may load at once, one at least.
+# Maximum fraction of a pool's engines that load at the same time; at least one may.
 LOADS_AT_ONCE_FRACTION = 0.34
 
 
@@ -22,7 +22,7 @@
 
 
 class EngineView(msgspec.Struct, frozen=True):
-    """Say what is known of an engine: its hall, what it holds, whether it is usable."""
+    """Hold the known state of an engine: its hall, model copies and usability."""
 
     endpoint_id: EndpointId
     hall: HallId
@@ -31,22 +31,22 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Say which copies each engine of a pool is to hold."""
+    """Hold the model copies that each engine of a pool should have."""
 
     copies_by_endpoint: dict[str, tuple[ModelCopy, ...]] = {}
 
     def wanted(self, endpoint_id: str) -> frozenset[ModelCopy]:
-        """Return the copies that an engine is to hold."""
+        """Return the copies that an engine should hold."""
         return frozenset(self.copies_by_endpoint.get(endpoint_id, ()))
 
 
 class PlacementPlanner:
-    """Move a plan towards what is configured.
+    """Change a plan step by step towards the configuration.
 
-    A copy in place stays where it is. A load is planned only while the weight store's
-    rate and the share of engines that may load at once allow it. A copy is given up
-    only when enough usable engines already hold what replaces it, so the last serving
-    copy of a model is never unloaded.
+    Existing copies are not moved. A load is planned only if the rate of the weight
+    store and the maximum fraction of loading engines allow it. A copy is dropped only
+    when enough usable engines already hold its replacement, so the last serving copy of
+    a model is never unloaded.
     """
 
     def __init__(self, *, weight_store_mb_s: float, burst_s: float = 10.0) -> None:
@@ -62,18 +62,20 @@
         engines: list[EngineView],
         now: float,
     ) -> Plan:
-        """Return the plan that follows a plan, the same one when nothing is to do."""
+        """Return the next plan, or the given one if nothing changes."""
         wanted = {e.endpoint_id: set(plan.wanted(e.endpoint_id)) for e in engines}
         loading = sum(bool(wanted[e.endpoint_id] - e.holds) for e in engines)
         limit = max(1, int(LOADS_AT_ONCE_FRACTION * len(engines)))
         for name in sorted(models):
             target = ModelCopy(name, models[name].version)
-            for engine in self._to_load(target, models[name], engines, wanted):
-                if loading >= limit or not self._pay(models[name], engine, target, now):
+            for engine in self._engines_to_load(target, models[name], engines, wanted):
+                if loading >= limit or not self._reserve_load(
+                    models[name], engine, target, now
+                ):
                     break
                 wanted[engine.endpoint_id].add(target)
                 loading += target not in engine.holds
-        self._give_up(models, engines, wanted)
+        self._drop_surplus(models, engines, wanted)
         copies = {
             endpoint_id: tuple(sorted(held))
             for endpoint_id, held in wanted.items()
@@ -81,35 +83,35 @@
         }
         return plan if copies == plan.copies_by_endpoint else Plan(copies)
 
-    def _pay(
+    def _reserve_load(
         self, model: ModelConfig, engine: EngineView, target: ModelCopy, now: float
     ) -> bool:
         if target in engine.holds:
             return True
-        # A model larger than the burst still loads once the bucket is full.
-        amount = min(model.load_mb, self.bucket_.burst)
-        return self.bucket_.try_take(now, amount)
+        # A model larger than the burst can be loaded when the bucket is full.
+        amount_mb = min(model.load_mb, self.bucket_.burst)
+        return self.bucket_.try_take(now, amount_mb)
 
-    def _to_load(
+    def _engines_to_load(
         self,
         target: ModelCopy,
         model: ModelConfig,
         engines: list[EngineView],
         wanted: dict[str, set[ModelCopy]],
     ) -> list[EngineView]:
-        """Return the engines that should get a copy next, the best first."""
+        """Return the engines that should get a copy next, in order of preference."""
         usable = [engine for engine in engines if engine.usable]
-        have = [e for e in usable if target in wanted[e.endpoint_id]]
-        missing = [
+        planned = [e for e in usable if target in wanted[e.endpoint_id]]
+        unplaced_pins = [
             e
             for e in usable
             if e.endpoint_id in model.pinned and target not in wanted[e.endpoint_id]
         ]
-        short = model.copies - len(have) - len(missing)
-        if short <= 0:
-            return missing
-        halls = [engine.hall for engine in have]
-        others = [e for e in usable if e not in have and e not in missing]
+        needed_count = model.copies - len(planned) - len(unplaced_pins)
+        if needed_count <= 0:
+            return unplaced_pins
+        halls = [engine.hall for engine in planned]
+        others = [e for e in usable if e not in planned and e not in unplaced_pins]
         others.sort(
             key=lambda e: (
                 target not in e.holds,
@@ -118,9 +120,9 @@
                 -rendezvous_weight(target.model, e.endpoint_id),
             )
         )
-        return missing + others[:short]
+        return unplaced_pins + others[:needed_count]
 
-    def _give_up(
+    def _drop_surplus(
         self,
         models: dict[str, ModelConfig],
         engines: list[EngineView],
@@ -128,10 +130,10 @@
     ) -> None:
         for engine in engines:
             for copy in sorted(wanted[engine.endpoint_id]):
-                if self._may_give_up(copy, engine, models, engines, wanted):
+                if self._may_drop(copy, engine, models, engines, wanted):
                     wanted[engine.endpoint_id].discard(copy)
 
-    def _may_give_up(
+    def _may_drop(
         self,
         copy: ModelCopy,
         engine: EngineView,
@@ -150,7 +152,7 @@
         ]
         enough = len(serving) >= max(1, model.copies)
         if copy != target:
-            # An old version goes once the new one serves in full.
+            # Drop the old version once all copies of the new one serve.
             return enough
         if engine.endpoint_id in model.pinned:
             return False
@@ -161,5 +163,5 @@
 
 
 def plan_differences(plan: Plan, engine: EngineView) -> list[ModelCopy]:
-    """Return the copies that an engine holds or lacks against a plan."""
+    """Return the copies by which an engine differs from a plan."""
     return sorted(plan.wanted(engine.endpoint_id) ^ engine.holds)
--- a/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
+++ b/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Plans move in safe steps; leases and fences keep late planners harmless."""
+"""Plans change in safe steps; leases and fences protect against stale planners."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -25,23 +25,23 @@
     ]
 
 
-def model(version="1", copies=2, **terms):
-    return ModelConfig(pool="p", version=version, copies=copies, **terms)
+def model(version="1", copies=2, **options):
+    return ModelConfig(pool="p", version=version, copies=copies, **options)
 
 
-def obey(plan, engines):
-    """Return engines that did what a plan says."""
+def apply_plan(plan, engines):
+    """Return the engines after they loaded and unloaded as planned."""
     return [
         EngineView(e.endpoint_id, e.hall, plan.wanted(e.endpoint_id)) for e in engines
     ]
 
 
-def settle(models, engines, plan=None, rounds=40):
+def run_planner(models, engines, plan=None, rounds=40):
     planner = PlacementPlanner(weight_store_mb_s=1e9)
     plan = plan or Plan()
     for step in range(rounds):
         plan = planner.next_plan(plan, models, engines, float(step))
-        engines = obey(plan, engines)
+        engines = apply_plan(plan, engines)
     return plan, engines
 
 
@@ -50,15 +50,15 @@
 
 
 def test_copies_spread_over_halls_and_stay():
-    plan, engines = settle({"m": model(copies=3)}, make_engines())
+    plan, engines = run_planner({"m": model(copies=3)}, make_engines())
     held = holders(engines, "m")
     assert len({e.hall for e in engines if e.endpoint_id in held}) == 3
-    again, _ = settle({"m": model(copies=3)}, engines, plan)
+    again, _ = run_planner({"m": model(copies=3)}, engines, plan)
     assert again == plan
 
 
 def test_pins_are_kept():
-    _, engines = settle({"m": model(pinned=("e4",))}, make_engines())
+    _, engines = run_planner({"m": model(pinned=("e4",))}, make_engines())
     assert "e4" in holders(engines, "m")
 
 
@@ -70,7 +70,7 @@
     started = []
     for second in range(40):
         plan = planner.next_plan(plan, models, engines, float(second))
-        engines = obey(plan, engines)
+        engines = apply_plan(plan, engines)
         started.append(len(holders(engines, "m")))
     assert started[0] == 1
     assert started[9] == 1
@@ -91,7 +91,7 @@
 )
 def test_the_last_serving_copy_is_never_unloaded(changes):
     planner = PlacementPlanner(weight_store_mb_s=1e9)
-    plan, engines = settle({"m": model()}, make_engines())
+    plan, engines = run_planner({"m": model()}, make_engines())
     now = 100.0
     for version, copies, down in changes:
         models = {"m": model(str(version), copies)}
@@ -102,14 +102,14 @@
                 for n, e in enumerate(engines)
             ]
             plan = planner.next_plan(plan, models, seen, now)
-            engines = obey(plan, engines)
+            engines = apply_plan(plan, engines)
             assert any(c.model == "m" for e in engines for c in e.holds)
 
 
 def test_a_new_version_replaces_the_old_in_full_first():
-    plan, engines = settle({"m": model("1", 2)}, make_engines())
+    plan, engines = run_planner({"m": model("1", 2)}, make_engines())
     old = holders(engines, "m")
-    plan, engines = settle({"m": model("2", 2)}, engines, plan)
+    plan, engines = run_planner({"m": model("2", 2)}, engines, plan)
     assert len(holders(engines, "m", "2")) == 2
     assert old
     assert not holders(engines, "m", "1")
@@ -151,7 +151,7 @@
 def test_an_order_in_doubt_is_waited_out_where_fences_are_not_checked(
     checks, held_back
 ):
-    sequence = OrderSequence(checks_fences=checks, doubt_s=5.0)
+    sequence = OrderSequence(checks_fences=checks, order_lifetime_s=5.0)
     sequence.offer(1, frozenset({COPY}))
     sequence.record_lost(sequence.next_step(frozenset(), 0.0), 0.0)
     sequence.offer(2, frozenset())
--- a/packages/leadford/src/leadford/pipelines/results/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/results/__init__.py
@@ -1,4 +1,4 @@
-"""Keep the results of attempts at an agent until they are acknowledged."""
+"""Keep the results of attempts in an agent until they are acknowledged."""
 
 from leadford.pipelines.results._kept import KeptResult, ResultStore, StreamCursor
 
--- a/packages/leadford/src/leadford/pipelines/results/_kept.py
+++ b/packages/leadford/src/leadford/pipelines/results/_kept.py
@@ -1,21 +1,22 @@
-"""Keep tokens and ends of attempts, and feed them out under credit.
+"""Keep the tokens and final messages of attempts, and send them within a credit.
 
-Owned by an agent, so that an entry which takes a request over can read on where the
-lost one stopped. Ended attempts are kept for a time and within bounds, the oldest go
-first; those that run are always kept. What is sent to whom is decided by the agent.
+Owned by an agent. An entry that takes over a request can continue the stream where the
+lost entry stopped. Ended attempts are kept for a limited time, count and size, and the
+oldest are dropped first; running attempts are always kept. The agent decides what is
+sent to which connection.
 """
 
 from collections import OrderedDict
 
 from leadford.protocol import Done
 
-# Ended attempts kept at most, and bytes of their tokens.
-RESULTS_KEPT = 4096
-BYTES_KEPT = 64 * 1024 * 1024
+# Default limits on the number of ended attempts and on the size of their results.
+RESULTS_MAX = 4096
+BYTES_MAX = 64 * 1024 * 1024
 
 
 class StreamCursor:
-    """Hold how far one connection has been sent a stream."""
+    """Track which part of a stream was sent to one connection."""
 
     def __init__(self, *, sequence: int, credit: int) -> None:
         self.sequence_ = sequence
@@ -24,7 +25,7 @@
 
 
 class KeptResult:
-    """Hold the tokens and the end of one attempt."""
+    """Hold the tokens and the final message of one attempt."""
 
     def __init__(self, *, key: str, workspace: str, started_at: float) -> None:
         self.key = key
@@ -37,27 +38,27 @@
         self.model_version_ = ""
 
     def attach(self, peer_id: str, sequence: int, credit: int) -> None:
-        """Start feeding a connection from a sequence on."""
+        """Start sending to a connection, beginning at a sequence number."""
         self.cursors_by_peer_[peer_id] = StreamCursor(sequence=sequence, credit=credit)
 
     def detach(self, peer_id: str) -> None:
-        """Stop feeding a connection."""
+        """Stop sending to a connection."""
         self.cursors_by_peer_.pop(peer_id, None)
 
     def add_credit(self, peer_id: str, tokens: int) -> None:
-        """Allow a connection more tokens."""
+        """Increase the number of tokens that may be sent to a connection."""
         cursor = self.cursors_by_peer_.get(peer_id)
         if cursor is not None:
             cursor.credit_ += tokens
 
     def append(self, texts: list[str], model_version: str) -> None:
-        """Add tokens from the endpoint."""
+        """Append tokens from the endpoint."""
         self.model_version_ = model_version
         self.texts_.extend(texts)
         self.bytes_ += sum(len(text) for text in texts)
 
     def take(self, peer_id: str) -> tuple[int, list[str]]:
-        """Return the sequence and the tokens that a connection may be sent now."""
+        """Return the first sequence and the tokens to send to a connection now."""
         cursor = self.cursors_by_peer_[peer_id]
         start = cursor.sequence_
         end = min(len(self.texts_), start + cursor.credit_)
@@ -68,7 +69,7 @@
         return start, self.texts_[start:end]
 
     def take_done(self, peer_id: str) -> Done | None:
-        """Return the end once, when every token before it was sent."""
+        """Return the final message once, after all tokens before it were sent."""
         cursor = self.cursors_by_peer_[peer_id]
         if self.done_ is None or cursor.done_sent_:
             return None
@@ -79,7 +80,7 @@
 
 
 class ResultStore:
-    """Hold kept results within a retention and a bound on count and bytes.
+    """Keep results for a retention time and within limits on count and bytes.
 
     Units: retention_s is seconds after the end; bytes_max is bytes of tokens.
     """
@@ -88,8 +89,8 @@
         self,
         *,
         retention_s: float,
-        results_max: int = RESULTS_KEPT,
-        bytes_max: int = BYTES_KEPT,
+        results_max: int = RESULTS_MAX,
+        bytes_max: int = BYTES_MAX,
     ) -> None:
         self.retention_s = retention_s
         self.results_max = results_max
@@ -99,7 +100,7 @@
         self.ended_bytes_ = 0
 
     def open(self, key: str, workspace: str, now: float) -> KeptResult | None:
-        """Start keeping an attempt, or return None when it is known already."""
+        """Start keeping an attempt; return None if it is already known."""
         if key in self.results_by_key_:
             return None
         kept = KeptResult(key=key, workspace=workspace, started_at=now)
@@ -107,11 +108,11 @@
         return kept
 
     def get(self, key: str) -> KeptResult | None:
-        """Return a kept attempt."""
+        """Return a kept attempt, or None if it is unknown."""
         return self.results_by_key_.get(key)
 
     def end(self, kept: KeptResult, done: Done, now: float) -> None:
-        """Record the end of an attempt."""
+        """Record the final message of an attempt."""
         if kept.done_ is not None:
             raise AssertionError(f"attempt {kept.key} ended twice")
         kept.done_ = done
@@ -136,16 +137,16 @@
         self.results_by_key_.pop(key, None)
 
     def expire(self, now: float) -> None:
-        """Drop ended attempts past the retention or over the bounds."""
+        """Drop the ended attempts that exceed the retention or the limits."""
         while self.ended_keys_:
             key, ended_at = next(iter(self.ended_keys_.items()))
-            over = len(self.ended_keys_) > self.results_max
-            over = over or self.ended_bytes_ > self.bytes_max
-            if not over and now - ended_at < self.retention_s:
+            is_over_bounds = len(self.ended_keys_) > self.results_max
+            is_over_bounds = is_over_bounds or self.ended_bytes_ > self.bytes_max
+            if not is_over_bounds and now - ended_at < self.retention_s:
                 return
             self.release(key)
 
     def detach_peer(self, peer_id: str) -> None:
-        """Stop feeding a connection that is gone."""
+        """Stop sending to a closed connection."""
         for kept in self.results_by_key_.values():
             kept.detach(peer_id)
--- a/packages/leadford/src/leadford/pipelines/results/tests/test_kept.py
+++ b/packages/leadford/src/leadford/pipelines/results/tests/test_kept.py
@@ -1,4 +1,4 @@
-"""Kept results are fed under credit, taken over, and bounded."""
+"""Kept results are sent within a credit, can be taken over, and are bounded."""
 
 from leadford.pipelines.results import ResultStore
 from leadford.protocol import Done, DoneStatus
