--- a/packages/leadford/src/leadford/pipelines/costs/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/costs/__init__.py
@@ -1,4 +1,4 @@
-"""Account for what requests cost, by stage, kind and workspace."""
+"""Account for the cost of requests by stage, pipeline and workspace."""
 
 from leadford.pipelines.costs._account import CostAccount, CostLine, StageCost
 
--- a/packages/leadford/src/leadford/pipelines/costs/_account.py
+++ b/packages/leadford/src/leadford/pipelines/costs/_account.py
@@ -1,7 +1,7 @@
-"""Sum service time and waste per stage, pipeline and workspace.
+"""Sum service time by use per stage, pipeline and workspace.
 
-Written by an entry when an attempt ends; read for `show cost` and the metrics. It holds
-endpoint time only, and knows nothing of prices.
+An entry adds to it when an attempt ends; `show cost` and the metrics read it. It counts
+endpoint time only, not prices.
 """
 
 from collections import OrderedDict
@@ -9,13 +9,13 @@
 
 import msgspec
 
-# Lines of an account; further workspaces are summed under `OVERFLOW_WORKSPACE`.
-LINES_KEPT = 2000
+# Number of lines above which new workspaces are summed under `OVERFLOW_WORKSPACE`.
+LINES_MAX = 2000
 OVERFLOW_WORKSPACE = "(others)"
 
 
 class StageCost(Enum):
-    """Say what the service time of an attempt bought."""
+    """Name the use of the service time of an attempt."""
 
     USEFUL = "useful"
     RETRIED = "retried"
@@ -23,7 +23,7 @@
 
 
 class CostLine:
-    """Hold the sums of one stage of one pipeline for one workspace.
+    """Hold the totals of one stage of one pipeline for one workspace.
 
     Units: milliseconds of endpoint time.
     """
@@ -35,7 +35,7 @@
 
 
 class CostKey(msgspec.Struct, frozen=True, order=True):
-    """Name a line of the account."""
+    """Identify a line of the account."""
 
     stage: str
     pipeline: str
@@ -43,9 +43,9 @@
 
 
 class CostAccount:
-    """Hold a bounded number of lines; the excess is summed over workspaces."""
+    """Hold a bounded number of lines; new workspaces beyond it share a line."""
 
-    def __init__(self, *, lines_max: int = LINES_KEPT) -> None:
+    def __init__(self, *, lines_max: int = LINES_MAX) -> None:
         self.lines_max = lines_max
         self.lines_by_key_: OrderedDict[CostKey, CostLine] = OrderedDict()
 
@@ -73,15 +73,15 @@
         return self.lines_by_key_.setdefault(key, CostLine())
 
     def totals_by_stage(self) -> dict[str, CostLine]:
-        """Return the sums over pipelines and workspaces."""
+        """Return the totals of each stage over pipelines and workspaces."""
         return self._sum_by("stage")
 
     def totals_by_pipeline(self) -> dict[str, CostLine]:
-        """Return the sums over stages and workspaces."""
+        """Return the totals of each pipeline over stages and workspaces."""
         return self._sum_by("pipeline")
 
     def totals_by_workspace(self) -> dict[str, CostLine]:
-        """Return the sums over stages and pipelines."""
+        """Return the totals of each workspace over stages and pipelines."""
         return self._sum_by("workspace")
 
     def _sum_by(self, field: str) -> dict[str, CostLine]:
--- a/packages/leadford/src/leadford/pipelines/costs/tests/test_account.py
+++ b/packages/leadford/src/leadford/pipelines/costs/tests/test_account.py
@@ -1,4 +1,4 @@
-"""Costs add up by stage, kind and workspace, in bounded memory."""
+"""Costs add up by stage, pipeline and workspace, in bounded memory."""
 
 import pytest
 
--- a/packages/leadford/src/leadford/pipelines/execution/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/execution/__init__.py
@@ -1,4 +1,4 @@
-"""Run one request through its stages: attempts, matching, budgets, true outcomes."""
+"""Track one request through its stages: attempts, matching, budgets and outcomes."""
 
 from leadford.pipelines.execution._request import (
     Attempt,
--- a/packages/leadford/src/leadford/pipelines/execution/_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/_request.py
@@ -1,8 +1,9 @@
-"""Hold the state of one request and match what comes back to it.
+"""Hold the state of one request and match answers to its attempts.
 
-One for each request that an entry of the own interface runs. It decides which answers
-count (a live attempt, the next sequence, the same tokens as before) and what may be
-told to the caller about what ran. Sending, retries and hedges are decided elsewhere.
+An entry of the own interface holds one `RequestExecution` for each running request. It
+decides which answers are accepted (from a live attempt, with the next sequence and the
+same tokens as before), and what the caller may be told about execution. Sending,
+retries and hedges are decided elsewhere.
 """
 
 from enum import Enum
@@ -24,7 +25,7 @@
 
 
 class StrayKind(Enum):
-    """Say why an answer matches nothing that is waited for."""
+    """Name the reason why an answer is not accepted."""
 
     NO_ATTEMPT = "no-attempt"
     REPEATED = "repeated"
@@ -34,7 +35,7 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """Name one try of one stage at one endpoint."""
+    """Identify one attempt of one stage at one endpoint."""
 
     stage: StageId
     number: AttemptNumber
@@ -43,9 +44,9 @@
 
 
 class StageBudget(msgspec.Struct, frozen=True):
-    """Say how long a stage may take.
+    """Hold the time that is left for a stage.
 
-    Units: milliseconds; tail_ms is kept for the stages after it.
+    Units: milliseconds; tail_ms is reserved for the later stages.
     """
 
     remaining_ms: float
@@ -53,15 +54,15 @@
 
     @property
     def own_ms(self) -> float:
-        """Return what the stage itself may use."""
+        """Return the time in milliseconds that the stage itself may use."""
         return self.remaining_ms - self.tail_ms
 
 
 class RequestExecution:
-    """Follow one request through the stages of its pipeline.
+    """Track one request through the stages of its pipeline.
 
-    It accepts only answers that match a live (stage, attempt), and knows at every
-    moment whether "not run" would be true.
+    It accepts only answers that match a live (stage, attempt), and knows at any time
+    whether the outcome "not run" would be true.
     """
 
     def __init__(
@@ -93,28 +94,28 @@
 
     @property
     def stage(self) -> StageConfig:
-        """Return the stage that runs now."""
+        """Return the current stage."""
         return self.pipeline.stages[self.stage_index_]
 
     @property
     def is_final_stage(self) -> bool:
-        """Tell whether the stage that runs now gives the answer."""
+        """Return whether the current stage produces the answer."""
         return self.stage_index_ == len(self.pipeline.stages) - 1
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether every stage has given its result."""
+        """Return whether all stages have returned a result."""
         return self.stage_index_ >= len(self.pipeline.stages)
 
     def budget(self, now: float) -> StageBudget:
-        """Return what is left for the stage that runs now."""
+        """Return the time budget of the current stage."""
         remaining_ms = (self.deadline_at - now) * 1000.0
         later = self.pipeline.stages[self.stage_index_ + 1 :]
         tail_ms = sum(stage.expected_ms for stage in later)
         return StageBudget(remaining_ms, min(tail_ms, max(0.0, remaining_ms)))
 
     def begin(self, endpoint_id: EndpointId, now: float) -> Attempt:
-        """Begin an attempt of the stage that runs now; call before a byte leaves."""
+        """Begin an attempt of the current stage; call this before any byte is sent."""
         self.attempts_made_ += 1
         self.stage_attempts_ += 1
         number = AttemptNumber(self.attempts_made_)
@@ -124,7 +125,7 @@
         return attempt
 
     def adopt(self, stage: str, number: int, endpoint_id: EndpointId) -> Attempt:
-        """Wait for an attempt that another process began."""
+        """Register an attempt that another process began as live."""
         names = [configured.name for configured in self.pipeline.stages]
         self.stage_index_ = names.index(stage)
         self.attempts_made_ = number
@@ -134,24 +135,24 @@
         return attempt
 
     def record_may_have_left(self) -> None:
-        """Record that a byte of the stage that runs now may have left."""
+        """Record that a byte of the current stage may have been sent."""
         if self.stage.effect or not self.stage.repeatable:
             self.effect_may_have_left_ = True
 
-    def record_proved_not_begun(self, attempt: Attempt, before: bool) -> None:
-        """Take back a `may have left` mark that a refusal disproved."""
+    def record_proved_not_begun(self, attempt: Attempt, effect_before: bool) -> None:
+        """End a refused attempt and restore the `may have left` mark from before it."""
         self.end_attempt(attempt)
-        self.effect_may_have_left_ = before
+        self.effect_may_have_left_ = effect_before
 
     def end_attempt(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt."""
+        """Mark an attempt as ended, so that its answers are no longer accepted."""
         self.live_by_number_.pop(attempt.number, None)
         self.ended_numbers_.add(attempt.number)
 
     def match(self, stage: str, number: int) -> Result[Attempt, StrayKind]:
-        """Return the live attempt that an answer names.
+        """Return the live attempt that an answer belongs to.
 
-        Errors: an answer to an attempt that ended or never was.
+        Errors: the attempt has ended or is unknown.
         """
         attempt = self.live_by_number_.get(AttemptNumber(number))
         if attempt is not None and attempt.stage == stage:
@@ -161,13 +162,14 @@
         return Failure(StrayKind.NO_ATTEMPT)
 
     def accept_tokens(self, part: TokenPart) -> Result[int, StrayKind]:
-        """Take the tokens that are new; return how many were added to the answer.
+        """Accept new tokens; return how many were added to the answer.
 
-        A later attempt begins at 0 again. What was delivered already is compared with
-        it, so that the answer goes on only with the same text of the same model.
+        A later attempt starts again at sequence 0. Its tokens are compared with those
+        already delivered, so that the answer continues only with the same text from the
+        same model version.
 
-        Errors: a part of another attempt, one seen before, one past a gap, or one
-        that differs from what was delivered.
+        Errors: the part belongs to no live attempt, was already received, follows a
+        gap, or differs from the delivered tokens.
         """
         matched = self.match(part.stage, part.attempt)
         if isinstance(matched, Failure):
@@ -176,30 +178,30 @@
         position = self.sequences_by_number_.get(number, 0)
         if part.sequence > position:
             return Failure(StrayKind.GAP)
-        seen = position - part.sequence
-        if seen >= len(part.texts):
+        seen_count = position - part.sequence
+        if seen_count >= len(part.texts):
             return Failure(StrayKind.REPEATED)
-        fresh = part.texts[seen:]
-        known = self.delivered_[position : position + len(fresh)]
+        new_texts = part.texts[seen_count:]
+        delivered = self.delivered_[position : position + len(new_texts)]
         same_model = self.model_version_ in ("", part.model_version)
-        if known != fresh[: len(known)] or (known and not same_model):
+        if delivered != new_texts[: len(delivered)] or (delivered and not same_model):
             self.diverged_ = True
             return Failure(StrayKind.DIVERGED)
         self.model_version_ = part.model_version
-        self.sequences_by_number_[number] = position + len(fresh)
-        added = fresh[len(known) :]
+        self.sequences_by_number_[number] = position + len(new_texts)
+        added = new_texts[len(delivered) :]
         self.delivered_.extend(added)
         return Success(len(added))
 
     def restart_answer(self) -> None:
-        """Forget tokens that no caller was shown, so that an attempt begins anew."""
+        """Discard tokens that the caller has not seen, to start the answer again."""
         self.delivered_.clear()
         self.model_version_ = ""
 
     def accept_done(self, done: Done) -> Result[Attempt, StrayKind]:
-        """Return the attempt that ended, once every token before its end arrived.
+        """End and return the attempt once all tokens before its end have arrived.
 
-        Errors: an end that matches no live attempt, or one past a gap.
+        Errors: the end matches no live attempt, or tokens before it are missing.
         """
         matched = self.match(done.stage, done.attempt)
         if isinstance(matched, Failure):
@@ -211,7 +213,7 @@
         return matched
 
     def advance(self, result: bytes) -> None:
-        """Take the stage's result and move to the next stage."""
+        """Store the result of the stage and move to the next one."""
         self.previous_ = result
         self.stage_index_ += 1
         self.stage_attempts_ = 0
@@ -220,9 +222,9 @@
             self.end_attempt(attempt)
 
     def failure_outcome(self, *, shown: bool) -> Outcome:
-        """Return what may truly be said of a request that is given up now.
+        """Return the outcome to report if the request fails now.
 
-        `shown` tells that the caller has read a part of the answer.
+        `shown` says that the caller has received a part of the answer.
         """
         if self.effect_may_have_left_ or shown:
             return Outcome.UNKNOWN
--- a/packages/leadford/src/leadford/pipelines/execution/tests/test_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/tests/test_request.py
@@ -1,4 +1,4 @@
-"""Late, doubled, crossed and broken answers must never reach a caller."""
+"""Late, repeated, mismatched and incomplete answers never reach a caller."""
 
 import pytest
 
@@ -101,7 +101,7 @@
     attempt = execution.begin(A, 0.0)
     execution.record_may_have_left()
     assert execution.failure_outcome(shown=False) is outcome
-    execution.record_proved_not_begun(attempt, before=False)
+    execution.record_proved_not_begun(attempt, effect_before=False)
     assert execution.failure_outcome(shown=False) is Outcome.NOT_RUN
 
 
