--- a/packages/leadford/src/leadford/pipelines/admission/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admit work only while its deadline can still be met."""
+"""Admit requests and attempts only while they can still meet their deadlines."""
 
 from leadford.pipelines.admission._deferral import Deferral
 from leadford.pipelines.admission._endpoint import EndpointAdmission, ServiceEstimate
--- a/packages/leadford/src/leadford/pipelines/admission/_deferral.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_deferral.py
@@ -1,30 +1,34 @@
-"""Hold back work that can wait while its pool is full.
+"""Defer attempts that can wait while the pool of their stage is full.
 
-Asked by the entry for pipelines that are marked so, where the objective is cost. What
-is held back takes no slot and no queue; it goes on in time in any case.
+Used by the entry for pipelines with `can_wait`, where the objective is cost. A deferred
+attempt takes no slot and no place in a queue, and continues in time for its deadline.
 """
 
-# Attempts per slot from which a pool counts as full.
+# Mean attempts per slot from which a pool counts as full.
 FULL_LOAD = 0.8
-# Times of what work needs that must be left for it to wait.
-SLACK = 2.5
+# Remaining time, as a multiple of the needed time, that a deferral requires.
+SLACK_FACTOR = 2.5
 
 
 class Deferral:
-    """Let patient work wait at the entry, where it takes no slot and no queue.
+    """Defer attempts at the entry while the endpoints of their pool are full.
 
-    Units: load is attempts per slot; times are milliseconds. Work goes on at the latest
-    when what is left is `slack` times what it needs.
+    An attempt continues at the latest when its remaining time is `slack_factor` times
+    the time it needs.
+
+    Units: load is attempts per slot; times are milliseconds.
     """
 
-    def __init__(self, *, full_load: float = FULL_LOAD, slack: float = SLACK) -> None:
+    def __init__(
+        self, *, full_load: float = FULL_LOAD, slack_factor: float = SLACK_FACTOR
+    ) -> None:
         self.full_load = full_load
-        self.slack = slack
+        self.slack_factor = slack_factor
 
     def holds_back(
         self, loads: list[float], *, remaining_ms: float, needed_ms: float
     ) -> bool:
-        """Tell whether an attempt waits, given the load of each candidate."""
-        if not loads or remaining_ms <= self.slack * needed_ms:
+        """Return whether an attempt is deferred, given the load of each candidate."""
+        if not loads or remaining_ms <= self.slack_factor * needed_ms:
             return False
         return sum(loads) / len(loads) >= self.full_load
--- a/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
@@ -1,8 +1,9 @@
 """Decide at an endpoint's queue whether an attempt can still finish in time.
 
-Asked by the agent when an attempt arrives and again when it would begin. It decides
-from what waits before it, and from how long the endpoint takes by its own measure. An
-idle endpoint always tries, since that loses nothing and shows its present speed.
+Called by the agent when an attempt arrives and again before it starts. The decision
+uses the attempts that wait before it and the service times seen at this endpoint. An
+idle endpoint runs any attempt whose deadline is not past: this delays no other attempt
+and shows the present speed of the endpoint.
 """
 
 from leadford.common import Ewma, RefusalReason, WorkspaceId
@@ -10,21 +11,21 @@
 
 # Weight of the newest attempt in the estimates.
 ESTIMATE_WEIGHT = 0.05
-# Milliseconds of an attempt, and of a token, before any is known.
+# Service time of an attempt, and of a token, before any has finished.
 DEFAULT_SERVICE_MS = 20.0
 DEFAULT_TOKEN_MS = 20.0
-# Part of an expected service that must fit before the deadline.
-DEADLINE_SLACK = 0.95
+# Fraction of the expected service time that must fit before the deadline.
+REQUIRED_SERVICE_FRACTION = 0.95
 
 
 class ServiceEstimate:
-    """Learn how long an endpoint takes, by stage and per generated token.
+    """Estimate the service time of an endpoint, by stage and per generated token.
 
     Units: milliseconds.
     """
 
     def __init__(self) -> None:
-        self.by_stage_: dict[str, Ewma] = {}
+        self.estimates_by_stage_: dict[str, Ewma] = {}
         self.overall_ = Ewma(initial=DEFAULT_SERVICE_MS, weight=ESTIMATE_WEIGHT)
         self.per_token_ = Ewma(initial=DEFAULT_TOKEN_MS, weight=ESTIMATE_WEIGHT)
 
@@ -33,31 +34,31 @@
         if tokens:
             self.per_token_.update(service_ms / tokens)
         self.overall_.update(service_ms)
-        estimate = self.by_stage_.get(stage)
+        estimate = self.estimates_by_stage_.get(stage)
         if estimate is None:
             estimate = Ewma(initial=service_ms, weight=ESTIMATE_WEIGHT)
-            self.by_stage_[stage] = estimate
+            self.estimates_by_stage_[stage] = estimate
         estimate.update(service_ms)
 
     def record_partial(self, elapsed_ms: float, tokens: int) -> None:
-        """Record an attempt that was cancelled, as far as it came."""
-        # That it took at least so long is worth more than no observation.
-        at_least_ms = elapsed_ms / (tokens + 1)
-        if at_least_ms > self.per_token_.value_:
-            self.per_token_.update(at_least_ms)
+        """Record the elapsed time of an attempt that was cancelled."""
+        # The elapsed time is a lower bound of the service time.
+        lower_bound_ms = elapsed_ms / (tokens + 1)
+        if lower_bound_ms > self.per_token_.value_:
+            self.per_token_.update(lower_bound_ms)
 
     def service_ms(self, stage: str, expected_tokens: int) -> float:
-        """Return the expected service of an attempt."""
+        """Return the expected service time of an attempt."""
         if expected_tokens:
             return self.per_token_.value_ * expected_tokens
-        estimate = self.by_stage_.get(stage)
+        estimate = self.estimates_by_stage_.get(stage)
         return estimate.value_ if estimate is not None else self.overall_.value_
 
 
 class EndpointAdmission:
-    """Refuse what the queue in front of an endpoint cannot serve in time.
+    """Refuse attempts that the queue of an endpoint cannot serve in time.
 
-    Without `by_deadline` only the queue's limit refuses.
+    Without `by_deadline`, attempts are refused only when the queue is full.
     """
 
     def __init__(
@@ -75,24 +76,24 @@
         self.estimate_ = ServiceEstimate()
 
     def wait_ms(self, priority: int, workspace: WorkspaceId, running: int) -> float:
-        """Return the expected wait of a newcomer."""
+        """Return the expected wait of an attempt that arrives now."""
         if running < self.concurrency and not len(self.queue):
             return 0.0
-        # The slots that run now free themselves, on average, half a service from now.
-        ahead = (
+        # A running attempt ends, on average, after half a service time.
+        backlog_ms = (
             self.queue.ahead_ms(priority, workspace)
             + self.estimate_.overall_.value_ / 2
         )
-        return ahead / self.concurrency
+        return backlog_ms / self.concurrency
 
     def check_arrival(
         self, item: QueuedAttempt, *, tail_ms: float, running: int, now: float
     ) -> RefusalReason | None:
-        """Return why an arriving attempt is refused, or None when it is taken."""
+        """Return why an arriving attempt is refused, or None when it is queued."""
         if len(self.queue) >= self.queue_limit:
             return RefusalReason.QUEUE_FULL
         if running == 0 and not len(self.queue):
-            # An idle endpoint loses nothing by trying, and learns its present speed.
+            # On an idle endpoint the attempt delays no other and shows its speed.
             return None if item.deadline_at > now else RefusalReason.DEADLINE
         wait_ms = self.wait_ms(item.priority, item.workspace, running)
         if not self._fits(item, wait_ms + tail_ms, now):
@@ -102,15 +103,15 @@
     def check_start(
         self, item: QueuedAttempt, *, tail_ms: float, running: int, now: float
     ) -> RefusalReason | None:
-        """Return why an attempt is not begun after its wait, or None."""
+        """Return why a queued attempt is not started, or None when it is."""
         if running == 0 and item.deadline_at > now:
             return None
         if not self._fits(item, tail_ms, now):
             return RefusalReason.DEADLINE
         return None
 
-    def _fits(self, item: QueuedAttempt, other_ms: float, now: float) -> bool:
+    def _fits(self, item: QueuedAttempt, additional_ms: float, now: float) -> bool:
         if not self.by_deadline:
             return True
         remaining_ms = (item.deadline_at - now) * 1000.0
-        return other_ms + item.cost_ms * DEADLINE_SLACK <= remaining_ms
+        return additional_ms + item.cost_ms * REQUIRED_SERVICE_FRACTION <= remaining_ms
--- a/packages/leadford/src/leadford/pipelines/admission/_entry.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_entry.py
@@ -1,12 +1,15 @@
 """Decide at an entry whether a request can finish all its stages in time.
 
-Asked once for each request of the own interface, with a forecast for each stage: the
-candidate endpoint that would finish first, by its last report and own sends. A request
-is refused at once when the sum lies behind its deadline; reports fade, so refused work
-does not refuse itself for ever. `EndpointAdmission` decides again at the queue.
-Admission over batched stages on the platform is another rule
-(`leadford.forwarding.admission`): it knows backlogs of all entries and callers that
-return, and no single endpoints.
+Called once for each request of leadford's own interface, with a forecast for each
+stage. The forecast is that of the candidate endpoint that would finish first, by its
+last load report and the attempts that this entry sent. A request is refused at once
+when the sum exceeds its remaining time. Reports fade with age: refused requests bring
+no new report, so an old one must not refuse for ever. `EndpointAdmission` decides again
+at the queue.
+
+Admission over batched stages on the platform follows another rule
+(`leadford.forwarding.admission`): it knows the backlogs of all entries and the callers
+that return, but not individual endpoints.
 """
 
 import msgspec
@@ -15,14 +18,14 @@
 from leadford.pipelines.config import StageConfig
 from leadford.pipelines.routing import EndpointView
 
-# Requests that an entry holds at a time.
+# Maximum number of live requests of an entry.
 LIVE_REQUESTS_MAX = 4096
-# Seconds in which a report of an endpoint fades to what is configured.
-REPORT_TRUSTED_S = 2.0
+# Age at which a load report no longer counts and the configured value applies.
+REPORT_FADE_S = 2.0
 
 
 class StageNeed(msgspec.Struct, frozen=True):
-    """Say what one stage needs of its pool."""
+    """Describe what one stage needs from its pool."""
 
     pool: str
     expected_ms: float
@@ -30,12 +33,12 @@
 
     @classmethod
     def from_config(cls, stage: StageConfig) -> "StageNeed":
-        """Return what a configured stage needs."""
+        """Return the needs of a configured stage."""
         return cls(stage.pool, stage.expected_ms, stage.expected_tokens)
 
 
 class PoolForecast(msgspec.Struct, frozen=True):
-    """Say how soon a pool could finish an attempt.
+    """Forecast how soon a pool could finish an attempt.
 
     Units: milliseconds.
     """
@@ -45,12 +48,12 @@
 
     @property
     def finish_ms(self) -> float:
-        """Return the wait and the service together."""
+        """Return the sum of wait and service time."""
         return self.wait_ms + self.service_ms
 
 
 class AdmissionVerdict(msgspec.Struct, frozen=True):
-    """Say whether a request is admitted, and when to come back if not."""
+    """Hold whether a request is admitted, and when to retry if not."""
 
     reason: RefusalReason | None
     predicted_ms: float = 0.0
@@ -77,21 +80,22 @@
         reported_ms = report.token_ms * need.expected_tokens
     if reported_ms <= 0:
         return need.expected_ms
-    # Refused work brings no new report, so an old one must not refuse for ever.
-    trust = max(0.0, 1.0 - (now - report.at_s) / REPORT_TRUSTED_S)
-    return need.expected_ms + (reported_ms - need.expected_ms) * trust
+    # Refused requests bring no new report, so an old one must not refuse for ever.
+    report_weight = max(0.0, 1.0 - (now - report.at_s) / REPORT_FADE_S)
+    return need.expected_ms + (reported_ms - need.expected_ms) * report_weight
 
 
 class EntryAdmission:
     """Admit a request when its predicted finish lies before its deadline.
 
-    `confidence` scales the prediction: below 1 it lets doubtful work try.
+    `prediction_scale` multiplies the prediction: a value below 1 also admits requests
+    that are predicted to be slightly late.
     """
 
     def __init__(
-        self, *, confidence: float = 0.9, live_max: int = LIVE_REQUESTS_MAX
+        self, *, prediction_scale: float = 0.9, live_max: int = LIVE_REQUESTS_MAX
     ) -> None:
-        self.confidence = confidence
+        self.prediction_scale = prediction_scale
         self.live_max = live_max
 
     def decide(
@@ -112,8 +116,8 @@
                 return AdmissionVerdict(reason, retry_after_ms=1000.0)
             wait_ms += forecast.wait_ms
             predicted_ms += forecast.finish_ms
-        if predicted_ms * self.confidence > remaining_ms:
-            excess_ms = predicted_ms * self.confidence - remaining_ms
+        if predicted_ms * self.prediction_scale > remaining_ms:
+            excess_ms = predicted_ms * self.prediction_scale - remaining_ms
             retry_after_ms = max(100.0, min(wait_ms, excess_ms))
             return AdmissionVerdict(
                 RefusalReason.DEADLINE, predicted_ms, retry_after_ms
--- a/packages/leadford/src/leadford/pipelines/admission/_headroom.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_headroom.py
@@ -1,26 +1,26 @@
-"""Keep room at an endpoint for the urgent work that is usually there.
+"""Reserve slots of an endpoint for the urgent attempts that are usually present.
 
-A slot taken by a long attempt is not free again for its whole service. Without this,
-a few long ones of a late class block a short one whose deadline is near.
+A long attempt occupies its slot for its whole service time. Without a reservation, a
+few long attempts of a less urgent class block a short one whose deadline is near.
 """
 
 from math import exp
 
-# Seconds over which the presence of a class is averaged. With headroom 0.99 to 1.00 of
-# the most urgent class were in time at twice the nominal load, 0.92 to 0.96 without,
-# for 6 % of the tokens in time (four stand-in engines).
-AVERAGE_OVER_S = 2.0
+# Time constant of the average number of attempts of a class. At twice the nominal load
+# on four stand-in engines, headroom raises the fraction of the most urgent class that
+# is in time from 0.92-0.96 to 0.99-1.00, and costs 6 % of the tokens in time.
+AVERAGE_TIME_CONSTANT_S = 2.0
 
 
 class Headroom:
-    """Average how much of each class of priority is present, and reserve the rest.
+    """Reserve slots for each priority class, up to its average number of attempts.
 
-    What a class lacks of its average is kept free from later classes. A class that is
-    always there in full therefore reserves nothing, and idle room is lent out.
+    As many slots as a class runs below its average are withheld from less urgent
+    classes. A class that always runs its average therefore reserves nothing.
     """
 
-    def __init__(self, *, average_over_s: float = AVERAGE_OVER_S) -> None:
-        self.average_over_s = average_over_s
+    def __init__(self, *, time_constant_s: float = AVERAGE_TIME_CONSTANT_S) -> None:
+        self.time_constant_s = time_constant_s
         self.present_by_priority_: dict[int, int] = {}
         self.running_by_priority_: dict[int, int] = {}
         self.average_by_priority_: dict[int, float] = {}
@@ -31,14 +31,14 @@
         if elapsed_s <= 0:
             return
         self.updated_at_ = now
-        weight = 1.0 - exp(-elapsed_s / self.average_over_s)
+        weight = 1.0 - exp(-elapsed_s / self.time_constant_s)
         for priority, present in self.present_by_priority_.items():
             average = self.average_by_priority_.get(priority, 0.0)
             average += weight * (present - average)
             self.average_by_priority_[priority] = average
 
     def record_arrived(self, priority: int, now: float) -> None:
-        """Count an attempt that queues."""
+        """Count an attempt that joins the queue."""
         self._advance(now)
         present = self.present_by_priority_.get(priority, 0)
         self.present_by_priority_[priority] = present + 1
@@ -56,7 +56,7 @@
             self.running_by_priority_[priority] -= 1
 
     def reserved(self, priority: int, now: float) -> int:
-        """Return how many slots are kept free from a class of priority."""
+        """Return how many slots are withheld from a priority class."""
         self._advance(now)
         lacking = 0.0
         for other, average in self.average_by_priority_.items():
@@ -69,9 +69,9 @@
     def admits(
         self, priority: int, *, running: int, concurrency: int, now: float
     ) -> bool:
-        """Tell whether an attempt of a class may take one of the free slots."""
+        """Return whether an attempt of a class may take one of the free slots."""
         free = concurrency - running
         if free <= 0:
             return False
-        # An endpoint that runs nothing keeps nothing back.
+        # An endpoint that runs nothing reserves nothing.
         return running == 0 or free > self.reserved(priority, now)
--- a/packages/leadford/src/leadford/pipelines/admission/tests/test_admission.py
+++ b/packages/leadford/src/leadford/pipelines/admission/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Work that cannot make its deadline is refused before it costs anything."""
+"""Requests that cannot meet their deadline are refused before they run."""
 
 import pytest
 
@@ -125,7 +125,7 @@
 
 
 def test_room_is_kept_for_the_urgent_work_that_is_usually_there():
-    headroom = Headroom(average_over_s=1.0)
+    headroom = Headroom(time_constant_s=1.0)
     now = 0.0
     for _ in range(200):
         for _ in range(2):
