--- a/packages/leadford/src/leadford/pipelines/queues/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/queues/__init__.py
@@ -1,4 +1,4 @@
-"""Order the work that waits in front of an endpoint."""
+"""Order the attempts that wait for an endpoint."""
 
 from leadford.pipelines.queues._base import (
     QueuedAttempt,
--- a/packages/leadford/src/leadford/pipelines/queues/_base.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_base.py
@@ -1,9 +1,9 @@
-"""Define queued work and the contract of a queue policy.
+"""Define queued attempts and the interface of a queue policy.
 
-An agent holds one queue for its endpoint; the policy decides what is served next, and
-the admission (`leadford.pipelines.admission`) asks it how much stands before a
-newcomer. The configuration names the policy (`queue` of the tuning). Clocks are passed
-in.
+An agent holds one queue for its endpoint. The policy decides which attempt is served
+next and tells the admission (`leadford.pipelines.admission`) how much expected service
+is ahead of a new attempt. The configuration names the policy (`queue` of the tuning).
+Callers pass the current time in.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,7 +17,7 @@
 class QueuedAttempt(msgspec.Struct, frozen=True):
     """Describe one attempt that waits.
 
-    Units: times are seconds of the caller's clock; cost_ms is expected service.
+    Units: times are seconds of the caller's clock; cost_ms is expected service time.
     """
 
     key: str
@@ -49,13 +49,13 @@
         """Add an attempt."""
 
     def pop(self, now: float) -> QueuedAttempt | None:
-        """Take the next attempt, or None when the queue is empty."""
+        """Pop the next attempt, or return None when the queue is empty."""
 
     def remove(self, key: str) -> QueuedAttempt | None:
-        """Take out one attempt, or return None when it is not queued."""
+        """Remove and return an attempt, or return None when it is not queued."""
 
     def ahead_ms(self, priority: int, workspace: WorkspaceId) -> float:
-        """Return the expected service of what would be served before a newcomer."""
+        """Return the expected service time served before a new attempt."""
 
     def __len__(self) -> int: ...
 
@@ -66,7 +66,7 @@
 
 
 class ItemIndexMixin:
-    """Index queued attempts by key and sum their expected service by priority."""
+    """Index queued attempts by key and sum their expected service time by priority."""
 
     def __init__(self) -> None:
         self.items_by_key_: dict[str, QueuedAttempt] = {}
@@ -96,7 +96,7 @@
         return item
 
     def ahead_ms(self, priority: int, workspace: WorkspaceId) -> float:
-        """Return the expected service queued at this priority or before it."""
+        """Return the expected service time queued at this priority or before it."""
         total = 0.0
         for other, cost_ms in self.cost_ms_by_priority_.items():
             if other <= priority:
--- a/packages/leadford/src/leadford/pipelines/queues/_classes.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_classes.py
@@ -1,28 +1,28 @@
-"""Serve classes of priority in order, with a small part left to the lowest.
+"""Serve priority classes in order, with a small part reserved for the lowest.
 
-Shared by the policies that differ only in the order within a class; each names the
-ordering of one class in `_new_class`. An attempt that was removed stays in its ordering
-until its turn and is passed over there.
+Shared by the policies that differ only in the order within a class; each creates the
+ordering of one class in `_new_class`. A removed attempt stays in the heap of its
+ordering until it reaches the top, where it is skipped.
 """
 
 from leadford.common import WorkspaceId
 from leadford.pipelines.queues._base import ItemIndexMixin, QueuedAttempt, TermsLookup
 
-# Turns of which one goes to the lowest class that waits.
-LOWEST_CLASS_TURN = 20
+# Number of pops of which one serves the lowest class that waits.
+LOWEST_CLASS_INTERVAL = 20
 
 
 class ClassQueueMixin(ItemIndexMixin):
-    """Keep one ordering per class of priority.
+    """Keep one ordering per priority class.
 
-    Every 20th turn goes to the lowest class that waits, so that none starves.
+    Every 20th pop serves the lowest class that waits, so that no class starves.
     """
 
     def __init__(self, *, terms: TermsLookup) -> None:
         super().__init__()
         self.terms = terms
         self.classes_by_priority_: dict[int, object] = {}
-        self.turns_ = 0
+        self.pop_count_ = 0
 
     def push(self, item: QueuedAttempt) -> None:
         """Add an attempt to its class."""
@@ -34,31 +34,33 @@
         ordering.push(item)
 
     def pop(self, now: float) -> QueuedAttempt | None:
-        """Take the next attempt."""
+        """Pop the next attempt."""
         waiting = self.count_by_priority_
         if not waiting:
             return None
-        self.turns_ += 1
+        self.pop_count_ += 1
         priority = min(waiting)
-        if self.turns_ % LOWEST_CLASS_TURN == 0:
+        if self.pop_count_ % LOWEST_CLASS_INTERVAL == 0:
             priority = max(waiting)
         while True:
             key = self.classes_by_priority_[priority].pop(now)
             if key is None:
-                raise AssertionError("a class with queued attempts handed out nothing")
+                raise AssertionError(
+                    "the ordering of a class with queued attempts is empty"
+                )
             item = self._discard(key)
             if item is not None:
                 return item
 
     def remove(self, key: str) -> QueuedAttempt | None:
-        """Take out one attempt."""
+        """Remove one attempt."""
         item = self._discard(key)
         if item is not None:
-            self.classes_by_priority_[item.priority].forget(item)
+            self.classes_by_priority_[item.priority].drop(item)
         return item
 
     def ahead_ms(self, priority: int, workspace: WorkspaceId) -> float:
-        """Return what more urgent classes have, and the newcomer's part of its own."""
+        """Return the backlog of more urgent classes plus the part ahead in its own."""
         total_ms = 0.0
         for other, cost_ms in self.cost_ms_by_priority_.items():
             if other < priority:
--- a/packages/leadford/src/leadford/pipelines/queues/_fair.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_fair.py
@@ -1,8 +1,9 @@
 """Share an endpoint between workspaces by weighted fair queueing.
 
-Start-time fair queueing: a workspace that begins to wait gets a start tag, each attempt
-served moves its tag on by the cost over the workspace's share, and the lowest tag is
-served next. A share counts only while its workspace waits.
+Start-time fair queueing: a workspace gets a start tag when its first attempt is queued.
+Each served attempt advances the tag by its cost divided by the share of the workspace,
+and the lowest tag is served next. A share counts only while its workspace has queued
+attempts.
 """
 
 from heapq import heappop, heappush
@@ -12,46 +13,46 @@
 from leadford.pipelines.queues._classes import ClassQueueMixin
 from leadford.pipelines.queues._flows import FlowTable
 
-# Finish tags kept before those in the past are dropped.
-TAGS_KEPT = 1024
+# Number of finish tags above which those in the past are dropped.
+MAX_FINISH_TAGS = 1024
 
 
 class _FairClass:
     """Serve the flow with the lowest start tag (start-time fair queueing).
 
-    The cost of a decision follows the workspaces that wait, not those configured.
+    The cost of a decision grows with the workspaces that wait, not with all configured.
     """
 
     def __init__(self, *, terms: TermsLookup) -> None:
         self.terms = terms
         self.virtual_time_ = 0.0
-        self.table_ = FlowTable()
+        self.flow_table_ = FlowTable()
         self.finish_tags_: dict[WorkspaceId, float] = {}
         self.heap_: list[tuple[float, int, WorkspaceId]] = []
-        self.pushes_ = 0
+        self.push_count_ = 0
 
     def push(self, item: QueuedAttempt) -> None:
-        """Add an attempt; a workspace that did not wait starts at the virtual time."""
-        flow = self.table_.flows_by_workspace_.get(item.workspace)
+        """Add an attempt, and schedule its workspace if it has no flow yet."""
+        flow = self.flow_table_.flows_by_workspace_.get(item.workspace)
         if flow is None:
             share = self.terms(item.workspace).share
-            flow = self.table_.open(item.workspace, share)
+            flow = self.flow_table_.open(item.workspace, share)
             self._schedule(item.workspace)
         flow.push(item)
 
     def _schedule(self, workspace: WorkspaceId) -> None:
         finish = self.finish_tags_.get(workspace, 0.0)
         start = max(self.virtual_time_, finish)
-        self.pushes_ += 1
-        heappush(self.heap_, (start, self.pushes_, workspace))
+        self.push_count_ += 1
+        heappush(self.heap_, (start, self.push_count_, workspace))
 
     def pop(self, now: float) -> str | None:
-        """Take the key of the next attempt, and move the virtual time to its start."""
+        """Pop the key of the next attempt and advance the virtual time to its start."""
         while self.heap_:
             start, _, workspace = heappop(self.heap_)
-            flow = self.table_.flows_by_workspace_[workspace]
+            flow = self.flow_table_.flows_by_workspace_[workspace]
             if not len(flow):
-                self.table_.close(workspace)
+                self.flow_table_.close(workspace)
                 continue
             key, cost_ms = flow.pop()
             self.virtual_time_ = start
@@ -60,34 +61,34 @@
             if len(flow):
                 self._schedule(workspace)
             else:
-                self.table_.close(workspace)
-            if not self.table_.flows_by_workspace_:
-                # With nobody waiting, nobody is owed anything.
+                self.flow_table_.close(workspace)
+            if not self.flow_table_.flows_by_workspace_:
+                # Without an open flow there is no service to balance.
                 self.finish_tags_.clear()
             self._prune()
             return key
         return None
 
-    def forget(self, item: QueuedAttempt) -> None:
-        """Drop an attempt; its workspace keeps its place in the order."""
-        self.table_.flows_by_workspace_[item.workspace].forget(item)
+    def drop(self, item: QueuedAttempt) -> None:
+        """Drop an attempt; its workspace keeps its start tag."""
+        self.flow_table_.flows_by_workspace_[item.workspace].drop(item)
 
     def ahead_ms(self, workspace: WorkspaceId, class_ms: float, count: int) -> float:
-        """Return the milliseconds of this class that go before a newcomer."""
+        """Return the milliseconds of this class served before a new attempt."""
         share = self.terms(workspace).share
-        return self.table_.ahead_ms(workspace, share, class_ms, count)
+        return self.flow_table_.ahead_ms(workspace, share, class_ms, count)
 
     def _prune(self) -> None:
-        if len(self.finish_tags_) <= TAGS_KEPT:
+        if len(self.finish_tags_) <= MAX_FINISH_TAGS:
             return
-        # A tag in the past says nothing: its flow would start at virtual time.
+        # A tag in the past has no effect: its flow would start at the virtual time.
         tags = self.finish_tags_.items()
         self.finish_tags_ = {w: t for w, t in tags if t > self.virtual_time_}
 
 
 @queue_policies.register("weighted_fair")
 class WeightedFair(ClassQueueMixin):
-    """Serve by class, then workspaces by weight, then deadlines."""
+    """Order by priority class, then workspaces by share, then by deadline."""
 
     @classmethod
     def from_config(cls, *, terms: TermsLookup) -> "WeightedFair":
--- a/packages/leadford/src/leadford/pipelines/queues/_fifo.py
+++ b/packages/leadford/src/leadford/pipelines/queues/_fifo.py
@@ -1,6 +1,6 @@
-"""Provide plain orders: first in first out, and earliest deadline.
+"""Provide simple orders: first in first out, and earliest deadline.
 
-Neither looks at workspaces. They are there to compare the others with.
+Neither considers workspaces. They are baselines for the other policies.
 """
 
 from collections import deque
@@ -34,7 +34,7 @@
         self.keys_.append(item.key)
 
     def pop(self, now: float) -> QueuedAttempt | None:
-        """Take the oldest attempt."""
+        """Pop the oldest attempt."""
         while self.keys_:
             item = self._discard(self.keys_.popleft())
             if item is not None:
@@ -42,17 +42,17 @@
         return None
 
     def remove(self, key: str) -> QueuedAttempt | None:
-        """Take out one attempt."""
+        """Remove one attempt."""
         return self._discard(key)
 
     def ahead_ms(self, priority: int, workspace: WorkspaceId) -> float:
-        """Return the expected service of everything queued."""
+        """Return the expected service time of all queued attempts."""
         return sum(self.cost_ms_by_priority_.values())
 
 
 @queue_policies.register("earliest_deadline")
 class EarliestDeadline(ItemIndexMixin):
-    """Serve by class of priority, then by deadline."""
+    """Serve attempts by priority class, then by deadline."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,7 +69,7 @@
         heappush(self.heap_, (item.priority, item.deadline_at, item.key))
 
     def pop(self, now: float) -> QueuedAttempt | None:
-        """Take the attempt of the first class with the earliest deadline."""
+        """Pop the attempt with the earliest deadline in the most urgent class."""
         while self.heap_:
             item = self._discard(heappop(self.heap_)[2])
             if item is not None:
@@ -77,5 +77,5 @@
         return None
 
     def remove(self, key: str) -> QueuedAttempt | None:
-        """Take out one attempt."""
+        """Remove one attempt."""
         return self._discard(key)
--- a/packages/leadford/src/leadford/pipelines/queues/tests/test_policies.py
+++ b/packages/leadford/src/leadford/pipelines/queues/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""One contract for every queue policy, and what fairness adds to it."""
+"""Tests for every queue policy, and for the fairness of those that share."""
 
 from collections import Counter
 
@@ -119,7 +119,7 @@
         queue.push(attempt(f"k{index}", f"w{index}"))
         queue.pop(0.0)
     fair = queue.classes_by_priority_[4]
-    assert not fair.table_.flows_by_workspace_
+    assert not fair.flow_table_.flows_by_workspace_
     assert len(fair.finish_tags_) <= 1025
 
 
