--- a/packages/leadford/src/leadford/pipelines/routing/_base.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_base.py
@@ -1,8 +1,8 @@
-"""Define what a routing policy sees and the contract it fulfils.
+"""Define the input and the interface of a routing policy.
 
-Owned by the directory of an entry, which keeps an `EndpointView` for each endpoint and
-records there what the endpoint's agent reports and what the entry itself sends.
-Policies read the views and change nothing. Times are passed in.
+The directory of an entry keeps an `EndpointView` for each endpoint. It records there
+the load reports of the endpoint's agent and the attempts that the entry sends. Policies
+read the views and do not change them. Callers pass the current time in.
 """
 
 from random import Random
@@ -13,23 +13,24 @@
 from leadford.common import EndpointId, HallId, Objective, Registry
 from leadford.pipelines.routing._prefixes import PrefixIndex
 
-# Seconds after which half of a load report still counts.
+# Age at which a load report counts half.
 REPORT_HALF_LIFE_S = 1.0
-# Priorities of a request are 0, which goes first, to 9.
-PRIORITIES = 10
+# The priority of a request is 0 (most urgent) to 9.
+PRIORITY_COUNT = 10
 
 
 class ClassWait(msgspec.Struct, frozen=True):
-    """Say how much expected service waits in one class of priority."""
+    """Hold the expected service time that waits in one priority class."""
 
     priority: int
     ahead_ms: float
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Hold what an agent last said of its endpoint.
+    """Hold the last load report of an agent on its endpoint.
 
-    Units: service_ms per attempt, token_ms per generated token, at_s of the clock.
+    Units: service_ms per attempt, token_ms per generated token, at_s in seconds of the
+    local clock.
     """
 
     at_s: float = 0.0
@@ -45,13 +46,13 @@
 class EndpointView:
     """Hold what this process knows of one endpoint.
 
-    `reported_` is what the last report says is there, `unreported_` the attempts of
-    this process that the report cannot have seen, `outstanding_` all attempts of this
-    process there. `ahead_ms_` is the expected service that waits, for each priority
-    together with those before it; `load_` is the attempts there by the slots, the order
-    of the shortlist.
+    `reported_attempts_` counts the attempts in the last report, `unreported_` the
+    attempts sent by this process since that report, and `outstanding_` all attempts of
+    this process on the endpoint. `ahead_ms_by_priority_` is the expected service time
+    that waits at a priority or at a more urgent one. `load_` is attempts per slot; the
+    shortlist is sorted by it.
 
-    Units: distance_ms one way, joined_at_s of the clock that is passed in.
+    Units: distance_ms is one way, joined_at_s uses the clock that is passed in.
     """
 
     def __init__(
@@ -71,9 +72,9 @@
         self.joined_at_s = joined_at_s
         self.models = models
         self.report_ = LoadReport(concurrency=concurrency)
-        self.reported_ = 0
+        self.reported_attempts_ = 0
         self.load_ = 0.0
-        self.ahead_ms_ = [0.0] * PRIORITIES
+        self.ahead_ms_by_priority_ = [0.0] * PRIORITY_COUNT
         self.unreported_ = 0
         self.outstanding_ = 0
         self.outstanding_tokens_ = 0
@@ -81,41 +82,45 @@
         self.held_models_: tuple[tuple[str, str], ...] = ()
 
     def serves(self, model: str) -> bool:
-        """Tell whether a model is there; an engine that names none serves all."""
+        """Return whether a model is served; an engine that names none serves all."""
         if self.held_models_:
             return any(name == model for name, _ in self.held_models_)
         return not self.models or model in self.models
 
-    def trust(self, now: float) -> float:
-        """Return how far the last report still holds: 1 at once, a half after 1 s."""
+    def report_weight(self, now: float) -> float:
+        """Return the weight of the last report: 1 when new, 0.5 after 1 s."""
         age_s = now - self.report_.at_s
         return REPORT_HALF_LIFE_S / (REPORT_HALF_LIFE_S + max(0.0, age_s))
 
-    def ahead(self, now: float) -> float:
-        """Return how many attempts are probably there already."""
-        reported = self.reported_ * self.trust(now)
+    def attempts_ahead(self, now: float) -> float:
+        """Return the estimated number of attempts on the endpoint."""
+        reported = self.reported_attempts_ * self.report_weight(now)
         return max(reported + self.unreported_, self.outstanding_)
 
     def wait_ms(self, priority: int, service_ms: float, now: float) -> float:
-        """Return how long an attempt of a priority would probably wait.
+        """Return the expected wait of an attempt of a priority.
 
-        Units: service_ms is what one attempt there takes.
+        Units: service_ms is the service time of one attempt on this endpoint.
         """
         concurrency = self.report_.concurrency
-        ahead = self.ahead(now)
-        if ahead < concurrency:
+        attempts_ahead = self.attempts_ahead(now)
+        if attempts_ahead < concurrency:
             return 0.0
-        # Until the next of the running attempts ends, half a service on average.
-        ahead_ms = service_ms / 2.0 + self.ahead_ms_[priority] * self.trust(now)
-        beyond = max(0.0, ahead - max(concurrency, self.reported_))
-        return (ahead_ms + beyond * service_ms) / concurrency
+        # A running attempt ends, on average, after half a service time.
+        ahead_ms = service_ms / 2.0 + self.ahead_ms_by_priority_[
+            priority
+        ] * self.report_weight(now)
+        excess_attempts = max(
+            0.0, attempts_ahead - max(concurrency, self.reported_attempts_)
+        )
+        return (ahead_ms + excess_attempts * service_ms) / concurrency
 
     def record_sent(self, expected_tokens: int) -> None:
         """Count an attempt that was sent."""
         self.unreported_ += 1
         self.outstanding_ += 1
         self.outstanding_tokens_ += expected_tokens
-        self._sum_load()
+        self._update_load()
 
     def record_ended(self, expected_tokens: int) -> None:
         """Count an attempt that ended."""
@@ -123,30 +128,32 @@
         self.outstanding_ = max(0, self.outstanding_ - 1)
         remaining = self.outstanding_tokens_ - expected_tokens
         self.outstanding_tokens_ = max(0, remaining)
-        self._sum_load()
+        self._update_load()
 
     def record_report(self, report: LoadReport) -> None:
-        """Record a newer load report, summed for the decisions that follow."""
+        """Record a newer load report, and sum its waiting service by priority."""
         self.report_ = report
-        self.reported_ = report.queued + report.running
+        self.reported_attempts_ = report.queued + report.running
         self.unreported_ = 0
-        sums = [0.0] * PRIORITIES
+        sums = [0.0] * PRIORITY_COUNT
         for waiting in report.classes:
-            for priority in range(waiting.priority, PRIORITIES):
+            for priority in range(waiting.priority, PRIORITY_COUNT):
                 sums[priority] += waiting.ahead_ms
-        self.ahead_ms_ = sums
-        self._sum_load()
+        self.ahead_ms_by_priority_ = sums
+        self._update_load()
 
-    def _sum_load(self) -> None:
-        """Recompute the measure of load that the shortlist sorts by."""
-        ahead = max(self.reported_ + self.unreported_, self.outstanding_)
-        self.load_ = ahead / self.report_.concurrency
+    def _update_load(self) -> None:
+        """Recompute the attempts per slot, by which the shortlist is sorted."""
+        attempts_ahead = max(
+            self.reported_attempts_ + self.unreported_, self.outstanding_
+        )
+        self.load_ = attempts_ahead / self.report_.concurrency
 
 
 class RoutingRequest(msgspec.Struct, frozen=True):
     """Describe the attempt to be placed.
 
-    Units: remaining_ms is what is left for this stage and those after it.
+    Units: remaining_ms is the time left for this stage and the later ones.
     """
 
     stage: str = ""
@@ -173,8 +180,8 @@
         """Return the chosen candidate, or None when there is none."""
 
 
-class DrawingPolicy:
-    """Hold the generator of a policy that draws, for ties or for candidates."""
+class RandomizedPolicy:
+    """Hold the random generator of a policy that draws candidates or breaks ties."""
 
     def __init__(self, *, random: Random) -> None:
         self.random = random
--- a/packages/leadford/src/leadford/pipelines/routing/_baselines.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_baselines.py
@@ -1,14 +1,14 @@
-"""Provide the plain policies that `expected_finish` is compared with.
+"""Provide the baseline policies that `expected_finish` is compared with.
 
 The configuration may name one (`routing` of the tuning or of a pool); comparisons are
-in docs/measurements. They count attempts only, and do not fade reports with age.
+in docs/measurements. Baselines only count attempts, and do not discount old reports.
 """
 
 from random import Random
 
 from leadford.pipelines.routing._base import (
-    DrawingPolicy,
     EndpointView,
+    RandomizedPolicy,
     RoutingRequest,
     routing_policies,
 )
@@ -21,7 +21,7 @@
 
 @routing_policies.register("round_robin")
 class RoundRobin:
-    """Take the candidates in turn."""
+    """Choose the candidates in turn."""
 
     def __init__(self) -> None:
         self.turn_ = 0
@@ -44,13 +44,13 @@
 
 
 @routing_policies.register("least_loaded")
-class LeastLoaded(DrawingPolicy):
-    """Take the candidate with the fewest attempts queued and running."""
+class LeastLoaded(RandomizedPolicy):
+    """Choose the candidate with the fewest queued and running attempts."""
 
     def choose(
         self, request: RoutingRequest, candidates: list[EndpointView], now: float
     ) -> EndpointView | None:
-        """Return a least loaded candidate."""
+        """Return one of the least loaded candidates, drawn at random."""
         if not candidates:
             return None
         lowest = min(_load(view) for view in candidates)
@@ -59,13 +59,13 @@
 
 
 @routing_policies.register("power_of_two")
-class PowerOfTwo(DrawingPolicy):
-    """Take the less loaded of two candidates drawn at random."""
+class PowerOfTwo(RandomizedPolicy):
+    """Choose the less loaded of two candidates drawn at random."""
 
     def choose(
         self, request: RoutingRequest, candidates: list[EndpointView], now: float
     ) -> EndpointView | None:
-        """Return the less loaded of two."""
+        """Return the less loaded of two random candidates."""
         if not candidates:
             return None
         first = self.random.choice(candidates)
--- a/packages/leadford/src/leadford/pipelines/routing/_expected_finish.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_expected_finish.py
@@ -1,18 +1,18 @@
 """Choose the endpoint of an attempt by when the attempt would probably finish there.
 
-The routing policy of leadford's own interface; the deployed program chooses in
-`leadford.forwarding.endpoints`. An entry asks for every attempt, with the views of the
-endpoints that may take it (`_base.EndpointView`). The score adds, in this order:
+This is the routing policy of leadford's own interface; the deployed program chooses in
+`leadford.forwarding.endpoints`. An entry calls it for every attempt, with the views of
+the endpoints that may run it (`_base.EndpointView`). The score is built in this order:
 
-1. the way there and back, and a draw that breaks near ties;
-2. the wait in the queue, if more attempts are there than may run at once;
-3. the attempt itself: for a generation, its tokens in the batch that is there, and its
-   prompt, less what the endpoint probably holds of it;
-4. a penalty for an endpoint that joined a moment ago.
+1. the round trip to the endpoint, and a random term that breaks near ties;
+2. the wait in the queue, if all slots of the endpoint are in use;
+3. the service time: for a generation, its tokens in the present batch, and its prompt
+   without the part that the endpoint has probably cached;
+4. a penalty for an endpoint that joined recently.
 
 Where the deployment optimises cost, a generation goes to the fullest engine that is
-still in time. Which endpoints may be asked at all (ejected, draining, without the
-model) is decided before.
+still in time. Endpoints that may not run the attempt (ejected, draining, without the
+model) are excluded earlier.
 """
 
 from heapq import nlargest, nsmallest
@@ -21,40 +21,41 @@
 from leadford.common import Objective
 from leadford.pipelines.routing._base import (
     REPORT_HALF_LIFE_S,
-    DrawingPolicy,
     EndpointView,
+    RandomizedPolicy,
     RoutingRequest,
     routing_policies,
 )
 
-# Seconds in which an endpoint that joined is brought to its full share, and the part of
-# the share with which it begins.
+# Time in which an endpoint that joined reaches its full share, and the fraction of the
+# share with which it starts.
 SLOW_START_S = 5.0
-SLOW_START_FLOOR = 0.2
-# Milliseconds that a token of the prompt takes, and the part of them that a held prefix
-# saves. What the choice by prefix gains is in docs/measurements/prefixes.md.
+SLOW_START_MIN_FRACTION = 0.2
+# Prefill time of a prompt token, and the fraction of it that a cached prefix saves. The
+# gain of routing by prefix is in docs/measurements/prefixes.md.
 PREFILL_MS_PER_TOKEN = 0.25
 PREFIX_HIT_FRACTION = 0.9
-# Milliseconds within which scores count as equal and a draw decides.
+# Range of the random term that decides between nearly equal scores.
 TIE_MS = 1.0
-# With cost: the part of an engine's slots up to which it is filled, and how many times
-# the score must fit into what is left. The cost of a weighted request was 0.826, and
-# 1.199 with the objective of attainment (a trace on six engines, one run each).
-COST_FILL_MAX = 0.85
-COST_SLACK = 1.5
-# Milliseconds by which a full engine goes before an empty one: more than any score.
+# With the cost objective: the fraction of its slots up to which an engine is filled,
+# and how many times the score must fit into the remaining time. In a trace on six
+# engines a weighted request costs 0.826 with this objective, 1.199 with attainment.
+MAX_COST_FILL_FRACTION = 0.85
+COST_SLACK_FACTOR = 1.5
+# Bonus of a full engine over an empty one; larger than any score.
 COST_RANK_MS = 1e6
-# Part by which each other stream slows a stream.
-BATCH_SLOPE = 0.05
-# Endpoints that are scored, and as many fullest and holders of the prefix. A choice
-# among 40 takes 39 us, 119 us when all are scored (one run each, on a busy machine).
-SHORTLIST = 8
+# Fraction by which each other stream of the batch slows a stream.
+SLOWDOWN_PER_STREAM = 0.05
+# Number of least loaded endpoints that are scored, and the maximum number of fullest
+# ones and of holders of the prefix that are added. A choice among 40 endpoints takes
+# 39 us, and 119 us when all are scored (on a busy machine).
+SHORTLIST_SIZE = 8
 
 _LOAD = attrgetter("load_")
 
 
 @routing_policies.register("expected_finish")
-class ExpectedFinish(DrawingPolicy):
+class ExpectedFinish(RandomizedPolicy):
     """Score each candidate by when the attempt would probably finish there.
 
     Units: a score is milliseconds from now.
@@ -68,33 +69,37 @@
         best_score = float("inf")
         draw = self.random.random
         priority = request.priority
-        packs = request.objective is Objective.COST and request.expected_tokens > 0
-        # One plain loop over a shortlist: this runs for every attempt.
+        fills_batches = (
+            request.objective is Objective.COST and request.expected_tokens > 0
+        )
+        # One inlined loop over a shortlist, as this runs for every attempt.
         for view in self._shortlist(request, candidates):
             report = view.report_
             age_s = now - report.at_s
-            trust = REPORT_HALF_LIFE_S / (REPORT_HALF_LIFE_S + age_s)
+            report_weight = REPORT_HALF_LIFE_S / (REPORT_HALF_LIFE_S + age_s)
             if age_s <= 0.0:
-                trust = 1.0
-            ahead = view.reported_ * trust + view.unreported_
-            if ahead < view.outstanding_:
-                ahead = view.outstanding_
+                report_weight = 1.0
+            attempts_ahead = view.reported_attempts_ * report_weight + view.unreported_
+            if attempts_ahead < view.outstanding_:
+                attempts_ahead = view.outstanding_
             concurrency = report.concurrency
             service_ms = report.service_ms or request.expected_ms
             score = draw() * TIE_MS + view.distance_ms * 2.0
-            if ahead >= concurrency:
+            if attempts_ahead >= concurrency:
                 score += view.wait_ms(priority, service_ms, now)
             if request.expected_tokens:
-                service_ms = _generation_ms(request, view, ahead, service_ms, now)
+                service_ms = _generation_ms(
+                    request, view, attempts_ahead, service_ms, now
+                )
             score += service_ms
-            warm_s = now - view.joined_at_s
-            if warm_s < SLOW_START_S:
-                score /= max(SLOW_START_FLOOR, warm_s / SLOW_START_S)
-            fill = (ahead + 1.0) / concurrency
-            in_time = score * COST_SLACK < request.remaining_ms
-            if packs and fill <= COST_FILL_MAX and in_time:
-                # A step of a fuller batch costs little more, shared by more streams:
-                # the fullest engine that is still in time goes first.
+            since_joined_s = now - view.joined_at_s
+            if since_joined_s < SLOW_START_S:
+                score /= max(SLOW_START_MIN_FRACTION, since_joined_s / SLOW_START_S)
+            fill = (attempts_ahead + 1.0) / concurrency
+            in_time = score * COST_SLACK_FACTOR < request.remaining_ms
+            if fills_batches and fill <= MAX_COST_FILL_FRACTION and in_time:
+                # A step of a fuller batch costs little more and serves more streams,
+                # so the fullest engine that is still in time is preferred.
                 score -= COST_RANK_MS * fill
             if score < best_score:
                 best_score = score
@@ -105,38 +110,38 @@
         self, request: RoutingRequest, candidates: list[EndpointView]
     ) -> list[EndpointView]:
         """Return the least loaded candidates and those that may hold the prefix."""
-        if len(candidates) <= SHORTLIST:
+        if len(candidates) <= SHORTLIST_SIZE:
             return candidates
-        # A random start spreads ties, as sorting keeps their order.
+        # The sort is stable, so a random start spreads ties over all endpoints.
         start = int(self.random.random() * len(candidates))
         rotated = candidates[start:] + candidates[:start]
-        chosen = nsmallest(SHORTLIST, rotated, key=_LOAD)
+        chosen = nsmallest(SHORTLIST_SIZE, rotated, key=_LOAD)
         if request.objective is Objective.COST:
-            fitting = [view for view in rotated if view.load_ < COST_FILL_MAX]
-            chosen += nlargest(SHORTLIST, fitting, key=_LOAD)
+            fitting = [view for view in rotated if view.load_ < MAX_COST_FILL_FRACTION]
+            chosen += nlargest(SHORTLIST_SIZE, fitting, key=_LOAD)
         if request.prefix:
             holders = [
                 view
                 for view in rotated
                 if request.prefix in view.prefixes_.seen_at_by_prefix_
             ]
-            chosen += [view for view in holders[:SHORTLIST] if view not in chosen]
+            chosen += [view for view in holders[:SHORTLIST_SIZE] if view not in chosen]
         return chosen
 
 
 def _generation_ms(
     request: RoutingRequest,
     view: EndpointView,
-    ahead: float,
+    attempts_ahead: float,
     service_ms: float,
     now: float,
 ) -> float:
-    """Return how long a generation would take in the batch that is there."""
+    """Return the service time of a generation in the present batch."""
     token_ms = view.report_.token_ms
     if token_ms > 0.0:
         service_ms = token_ms * request.expected_tokens
     prefill_ms = request.prefill_tokens * PREFILL_MS_PER_TOKEN
     if request.prefix and view.prefixes_.holds(request.prefix, now):
         prefill_ms *= 1.0 - PREFIX_HIT_FRACTION
-    # Each stream in the batch slows the others a little, also below the limit.
-    return service_ms * (1.0 + BATCH_SLOPE * ahead) + prefill_ms
+    # Each stream slows the others a little, even while slots are free.
+    return service_ms * (1.0 + SLOWDOWN_PER_STREAM * attempts_ahead) + prefill_ms
--- a/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
@@ -1,23 +1,23 @@
-"""Remember which prompt prefixes an endpoint has probably cached.
+"""Track which prompt prefixes an endpoint has probably cached.
 
-One index for each `EndpointView`. A prefix is recorded when an attempt with it was sent
-there or the endpoint reported it; nothing confirms that the endpoint keeps it, so a
-prefix counts for a bounded time and only the newest are kept.
+Each `EndpointView` has one index. A prefix is recorded when an attempt with it is sent
+to the endpoint or when the endpoint reports it. Nothing confirms that the endpoint
+keeps it, so a prefix expires after a fixed time and only the newest are kept.
 """
 
 from collections import OrderedDict
 
-# Prefixes kept for each endpoint.
-PREFIXES_KEPT = 256
-# Seconds for which a prefix counts as cached.
-HINT_LIFETIME_S = 120.0
+# Maximum number of prefixes for each endpoint.
+MAX_PREFIXES = 256
+# Time for which a prefix counts as cached.
+PREFIX_LIFETIME_S = 120.0
 
 
 class PrefixIndex:
-    """Hold prefixes as hints: bounded, ageing, corrected by outcomes."""
+    """Hold a bounded number of prefixes that expire; each is only a hint."""
 
     def __init__(
-        self, *, capacity: int = PREFIXES_KEPT, lifetime_s: float = HINT_LIFETIME_S
+        self, *, capacity: int = MAX_PREFIXES, lifetime_s: float = PREFIX_LIFETIME_S
     ) -> None:
         self.capacity = capacity
         self.lifetime_s = lifetime_s
@@ -33,6 +33,6 @@
             self.seen_at_by_prefix_.popitem(last=False)
 
     def holds(self, prefix: str, now: float) -> bool:
-        """Tell whether the prefix is probably cached."""
+        """Return whether the prefix is probably cached."""
         seen_at = self.seen_at_by_prefix_.get(prefix)
         return seen_at is not None and now - seen_at < self.lifetime_s
--- a/packages/leadford/src/leadford/pipelines/routing/tests/test_policies.py
+++ b/packages/leadford/src/leadford/pipelines/routing/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""One contract for every routing policy, and what our own adds to it."""
+"""Tests for every routing policy, and for what `expected_finish` adds."""
 
 from collections import Counter
 from random import Random
