--- a/packages/leadford/src/leadford/pipelines/retries/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Decide whether and when a failed attempt is tried again."""
+"""Decide whether and when attempts are retried, hedged or moved."""
 
 from leadford.pipelines.retries._backoff import Backoff
 from leadford.pipelines.retries._budget import RetryBudget
--- a/packages/leadford/src/leadford/pipelines/retries/_decision.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_decision.py
@@ -1,10 +1,12 @@
-"""Decide what follows a failed attempt of a stage.
+"""Decide whether a failed attempt of a stage is retried.
 
-Asked by the entry of the own interface. An attempt that may have begun is repeated only
-where its stage may be; a first refusal moves it for free, other retries spend a budget
-and wait with backoff. Attempts of forwarded requests follow another rule
-(`leadford.forwarding.retries`): no backoff, a budget over a window that the fleet
-shares, and inputs that may have to be made again.
+Used by the entry for leadford's own interface. An attempt that may have begun is
+retried only if its stage is repeatable. A retry after the first refusal is free; other
+retries spend the budget, and those after a failure or a loss wait with backoff.
+
+Attempts of forwarded requests follow another rule (`leadford.forwarding.retries`): no
+backoff, a budget over a window that the fleet shares, and inputs that may have to be
+computed again.
 """
 
 from enum import Enum
@@ -15,12 +17,12 @@
 from leadford.pipelines.retries._backoff import Backoff
 from leadford.pipelines.retries._budget import RetryBudget
 
-# Attempts of a stage in all.
+# Maximum number of attempts of a stage, the first included.
 ATTEMPTS_MAX = 4
 
 
 class FailureKind(Enum):
-    """Say how much of an attempt may have happened."""
+    """Tell how an attempt failed, and so whether it may have begun."""
 
     NOT_SENT = "not-sent"
     REFUSED = "refused"
@@ -32,7 +34,7 @@
 class AttemptFailure(msgspec.Struct, frozen=True):
     """Describe a failed attempt.
 
-    Units: retry_after_ms is what the refusing side asked for.
+    Units: retry_after_ms is the delay that the refusing side requested.
     """
 
     kind: FailureKind
@@ -43,12 +45,12 @@
 
     @property
     def may_have_begun(self) -> bool:
-        """Tell whether the endpoint may have seen the attempt."""
+        """Return whether the endpoint may have begun the attempt."""
         return self.kind not in (FailureKind.NOT_SENT, FailureKind.REFUSED)
 
 
 class RetryDecision(msgspec.Struct, frozen=True):
-    """Say whether to try again, after which wait, or why not."""
+    """Hold whether to retry, after which delay, or why not."""
 
     retry: bool
     wait_ms: float = 0.0
@@ -79,19 +81,19 @@
         remaining_ms: float,
         needed_ms: float,
     ) -> RetryDecision:
-        """Return the decision; `others` counts candidates not tried yet."""
+        """Return the decision; `others` is the number of untried candidates."""
         if failure.may_have_begun and not repeatable:
             return RetryDecision(False, reason=failure.reason)
         if attempt >= self.attempts_max or others == 0:
             return RetryDecision(False, reason=failure.reason)
-        # A refusal proves that nothing ran, so another endpoint is asked at once.
-        unhurried = failure.kind in (FailureKind.FAILED, FailureKind.LOST)
-        wait_ms = 0.0 if not unhurried else self.backoff.wait_ms(attempt)
+        # A refusal proves that nothing ran, so another endpoint is tried at once.
+        needs_backoff = failure.kind in (FailureKind.FAILED, FailureKind.LOST)
+        wait_ms = 0.0 if not needs_backoff else self.backoff.wait_ms(attempt)
         if wait_ms + needed_ms > remaining_ms:
             return RetryDecision(False, reason=RefusalReason.DEADLINE)
-        # A first refusal only moves the attempt; a slow one was paid for when moved.
-        free = failure.kind is FailureKind.REFUSED and attempt == 1
-        free = free or failure.kind is FailureKind.MOVED
-        if not free and not self.budget.try_spend():
+        # A first refusal is free. For a move the caller has spent the budget already.
+        is_free = failure.kind is FailureKind.REFUSED and attempt == 1
+        is_free = is_free or failure.kind is FailureKind.MOVED
+        if not is_free and not self.budget.try_spend():
             return RetryDecision(False, reason=RefusalReason.RETRY_BUDGET)
         return RetryDecision(True, wait_ms)
--- a/packages/leadford/src/leadford/pipelines/retries/_rescue.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_rescue.py
@@ -1,27 +1,29 @@
 """Decide whether a slow generation is moved before its deadline passes.
 
-Asked by the entry from time to time while a generation runs whose caller was shown
-nothing yet. It compares what is left here at the speed seen so far with the forecast
-elsewhere.
+Called by the entry periodically while a generation runs of which the caller has seen no
+output yet. The time that it still needs, at its speed so far, is compared with the
+forecast for another endpoint.
 """
 
-# Tokens after which the speed of a generation counts.
-TOKENS_NEEDED = 3
-# Factor by which another endpoint must be better.
-MARGIN = 1.2
-# Milliseconds before the last moment to move, in which a generation that has said
-# little is moved too.
-LAST_CHANCE_MS = 300.0
+# Number of received tokens from which the speed of a generation is known.
+MIN_TOKENS = 3
+# Factor on the forecast elsewhere, and on the remaining time here.
+SAFETY_FACTOR = 1.2
+# Time before the latest possible move in which a generation with fewer tokens is moved
+# too.
+LAST_MOVE_WINDOW_MS = 300.0
 
 
 class RescuePolicy:
     """Move a generation that would be late here and in time elsewhere.
 
-    Units: milliseconds. The margin keeps a generation that is nearly in time.
+    The safety factor keeps a generation that is nearly in time where it is.
+
+    Units: milliseconds.
     """
 
-    def __init__(self, *, margin: float = MARGIN) -> None:
-        self.margin = margin
+    def __init__(self, *, safety_factor: float = SAFETY_FACTOR) -> None:
+        self.safety_factor = safety_factor
 
     def moves(
         self,
@@ -32,14 +34,16 @@
         remaining_ms: float,
         elsewhere_ms: float,
     ) -> bool:
-        """Tell whether to give the attempt up for one that takes `elsewhere_ms`.
+        """Return whether to replace the attempt by one that takes `elsewhere_ms`.
 
-        `generating_ms` runs from the first token.
+        `generating_ms` is the time since the first token.
         """
-        if elsewhere_ms * self.margin > remaining_ms:
+        if elsewhere_ms * self.safety_factor > remaining_ms:
             return False
-        if received < TOKENS_NEEDED:
-            # A queue or a long prompt may explain it, until the last chance to move.
-            return remaining_ms - elsewhere_ms * self.margin < LAST_CHANCE_MS
+        if received < MIN_TOKENS:
+            # A queue or a long prompt may be the cause, so move only if it gets late.
+            return (
+                remaining_ms - elsewhere_ms * self.safety_factor < LAST_MOVE_WINDOW_MS
+            )
         needed_ms = generating_ms / (received - 1) * (expected - received)
-        return needed_ms > remaining_ms * self.margin
+        return needed_ms > remaining_ms * self.safety_factor
--- a/packages/leadford/src/leadford/pipelines/retries/tests/test_retries.py
+++ b/packages/leadford/src/leadford/pipelines/retries/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries are safe, affordable, spaced and in time, or they do not happen."""
+"""Retries happen only when safe, within the budget, with backoff and in time."""
 
 from random import Random
 
