--- a/packages/leadford/src/leadford/pipelines/ejection/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/__init__.py
@@ -1,4 +1,4 @@
-"""Keep work away from endpoints that fail or lag, and let them come back."""
+"""Eject endpoints that fail or are slow, and restore them after probes."""
 
 from leadford.pipelines.ejection._outliers import (
     EjectionEvent,
--- a/packages/leadford/src/leadford/pipelines/ejection/_outliers.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/_outliers.py
@@ -1,11 +1,13 @@
-"""Eject outliers of a pool by errors and by slowness, within a cap.
-
-Held by each entry of the own interface, one a pool. An endpoint is ejected for failures
-in a row or often, or for being several times slower than the median of the others; it
-comes back after probes, one at a time. Endpoints of forwarded requests are judged by
-another rule (`leadford.forwarding.endpoints`): suspicion that only orders the choice,
-without probes and without a cap, because suspects are still asked when nobody else is
-left.
+"""Eject outliers of a pool by failures and by slowness, within a cap.
+
+Each entry holds one ejector per pool for leadford's own interface. An endpoint is
+ejected after consecutive failures, for a high failure rate, or when it is several times
+slower than the median of the others. It is restored after successful probes, one at a
+time.
+
+Endpoints of forwarded requests follow another rule (`leadford.forwarding.endpoints`):
+suspicion only affects the order of choice, without probes and without a cap, because
+suspects are still used when no other endpoint is left.
 """
 
 from enum import Enum
@@ -16,26 +18,27 @@
 
 from leadford.common import EndpointId, Ewma
 
-# Failures in a row that eject.
-FAILURES_IN_A_ROW = 5
-# Rate of failures that ejects, and the outcomes it needs; neither was measured.
-FAILURE_RATE = 0.5
-OUTCOMES_NEEDED = 10
-# Times of the median of the others that ejects for slowness, the answers it needs, and
-# the least such limit. Slowness as time over what a stage expects ejected no healthy
-# engine in a trace of 15 s, time per token did so 6 times (one run each).
+# Number of consecutive failures that ejects an endpoint.
+EJECTION_CONSECUTIVE_FAILURES = 5
+# Failure rate above which an endpoint is ejected, and the outcomes that it requires.
+EJECTION_FAILURE_RATE = 0.5
+MIN_OUTCOMES = 10
+# Multiple of the median of the others above which an endpoint is ejected for slowness,
+# the samples that it requires, and the minimum of this limit. Slowness is the time
+# divided by the expected time of the stage: in a trace of 15 s this ejects no healthy
+# engine, while time per token ejects healthy engines 6 times.
 SLOWNESS_RATIO = 3.0
-SLOWNESS_NEEDED = 4
-SLOWNESS_FLOOR = 2.0
-# Seconds of the first ejection, doubled with each further one up to the most.
+MIN_SLOWNESS_SAMPLES = 4
+MIN_SLOWNESS_LIMIT = 2.0
+# Duration of the first ejection, doubled with each further one up to the maximum.
 EJECTION_BASE_S = 1.0
 EJECTION_MAX_S = 30.0
-# Probes in a row that restore an endpoint.
+# Number of consecutive successful probes that restores an endpoint.
 PROBES_TO_RESTORE = 3
 
 
 class EndpointState(Enum):
-    """Say whether an endpoint gets work."""
+    """Tell whether an endpoint gets attempts."""
 
     ACTIVE = "active"
     EJECTED = "ejected"
@@ -43,7 +46,7 @@
 
 
 class EjectionEvent(msgspec.Struct, frozen=True):
-    """Tell that an endpoint was ejected, probed or restored, and why."""
+    """Record that an endpoint was ejected, probed or restored, and why."""
 
     endpoint_id: EndpointId
     state: EndpointState
@@ -56,23 +59,24 @@
     def __init__(self) -> None:
         self.state_ = EndpointState.ACTIVE
         self.reset()
-        self.ejections_ = 0
-        self.until_ = 0.0
-        self.probe_out_ = False
+        self.ejection_count_ = 0
+        self.ejected_until_ = 0.0
+        self.probe_running_ = False
         self.probes_passed_ = 0
 
     def reset(self) -> None:
-        """Forget the outcomes, as when an endpoint is restored."""
-        self.failures_in_a_row_ = 0
-        self.outcomes_ = 0
+        """Clear the outcomes, as when an endpoint is restored."""
+        self.consecutive_failures_ = 0
+        self.outcome_count_ = 0
         self.failure_rate_ = Ewma(initial=0.0, weight=0.1)
         self.slowness_ = Ewma(initial=0.0, weight=0.2)
 
 
 class OutlierEjector:
-    """Judge the endpoints of one pool by the outcomes this process saw.
+    """Eject endpoints of one pool by the outcomes seen in this process.
 
-    Suspicion is local and expires. Never more than `cap` of the pool is ejected.
+    Ejections are local to the process and expire. At most the fraction `cap` of the
+    pool is ejected; in a pool of two or more, one endpoint always may be.
     """
 
     def __init__(self, *, random: Random, cap: float = 0.34) -> None:
@@ -82,7 +86,7 @@
         self.events_: list[EjectionEvent] = []
 
     def retain(self, endpoint_ids: set[EndpointId]) -> None:
-        """Forget endpoints that left and begin records for those that joined."""
+        """Drop the records of endpoints that left and add those that joined."""
         for endpoint_id in set(self.records_by_id_) - endpoint_ids:
             del self.records_by_id_[endpoint_id]
         for endpoint_id in endpoint_ids:
@@ -94,39 +98,39 @@
         return record.state_ if record is not None else EndpointState.ACTIVE
 
     def admits(self, endpoint_id: EndpointId, now: float) -> bool:
-        """Tell whether an endpoint may get an attempt now."""
+        """Return whether an endpoint may get an attempt now."""
         record = self.records_by_id_.get(endpoint_id)
         if record is None or record.state_ is EndpointState.ACTIVE:
             return True
         if record.state_ is EndpointState.EJECTED:
-            if now < record.until_:
+            if now < record.ejected_until_:
                 return False
             self._set_state(endpoint_id, EndpointState.PROBING, "interval passed")
-            record.probe_out_ = False
+            record.probe_running_ = False
             record.probes_passed_ = 0
-        return not record.probe_out_
+        return not record.probe_running_
 
     def record_sent(self, endpoint_id: EndpointId) -> None:
-        """Count an attempt; while probing only one is out at a time."""
+        """Record a sent attempt; while probing, only one runs at a time."""
         record = self.records_by_id_.get(endpoint_id)
         if record is not None and record.state_ is EndpointState.PROBING:
-            record.probe_out_ = True
+            record.probe_running_ = True
 
     def record_abandoned(self, endpoint_id: EndpointId) -> None:
-        """Take back an attempt that ended without saying anything of the endpoint."""
+        """Record the end of an attempt that shows nothing about the endpoint."""
         record = self.records_by_id_.get(endpoint_id)
         if record is not None:
-            record.probe_out_ = False
+            record.probe_running_ = False
 
     def record_success(
         self, endpoint_id: EndpointId, slowness: float, now: float
     ) -> None:
-        """Record a success and its time against what was expected of it."""
+        """Record a success; `slowness` is its time over the expected time."""
         record = self.records_by_id_.get(endpoint_id)
         if record is None:
             return
-        record.failures_in_a_row_ = 0
-        record.outcomes_ += 1
+        record.consecutive_failures_ = 0
+        record.outcome_count_ += 1
         record.failure_rate_.update(0.0)
         record.slowness_.update(slowness)
         if record.state_ is EndpointState.PROBING:
@@ -136,20 +140,23 @@
             return
         self._judge_slowness(endpoint_id, record, now)
 
-    def record_late(self, endpoint_id: EndpointId, at_least: float, now: float) -> None:
-        """Record an attempt given up for time; it was at least so slow.
+    def record_late(
+        self, endpoint_id: EndpointId, min_slowness: float, now: float
+    ) -> None:
+        """Record an attempt that was abandoned as too slow.
 
-        Beside endpoints that are as slow it says nothing, as in an overload.
+        `min_slowness` is a lower bound of its slowness. It does not eject when the
+        other endpoints are as slow, as in an overload.
         """
         record = self.records_by_id_.get(endpoint_id)
         if record is None:
             return
-        record.probe_out_ = False
-        record.outcomes_ += 1
-        if at_least > record.slowness_.value_:
-            record.slowness_.update(at_least)
+        record.probe_running_ = False
+        record.outcome_count_ += 1
+        if min_slowness > record.slowness_.value_:
+            record.slowness_.update(min_slowness)
         if record.state_ is EndpointState.PROBING:
-            if at_least > self._slowness_limit(endpoint_id):
+            if min_slowness > self._slowness_limit(endpoint_id):
                 self._eject(endpoint_id, record, "probe was slow", now)
             return
         if record.state_ is EndpointState.ACTIVE:
@@ -159,8 +166,8 @@
         self, endpoint_id: EndpointId, record: _Record, now: float
     ) -> None:
         limit = self._slowness_limit(endpoint_id)
-        enough = record.slowness_.count_ >= SLOWNESS_NEEDED
-        if enough and record.slowness_.value_ > limit:
+        has_samples = record.slowness_.count_ >= MIN_SLOWNESS_SAMPLES
+        if has_samples and record.slowness_.value_ > limit:
             self._eject(endpoint_id, record, "slower than others", now)
 
     def record_failure(self, endpoint_id: EndpointId, reason: str, now: float) -> None:
@@ -168,22 +175,24 @@
         record = self.records_by_id_.get(endpoint_id)
         if record is None:
             return
-        record.failures_in_a_row_ += 1
-        record.outcomes_ += 1
+        record.consecutive_failures_ += 1
+        record.outcome_count_ += 1
         record.failure_rate_.update(1.0)
         if record.state_ is EndpointState.PROBING:
             self._eject(endpoint_id, record, f"probe failed: {reason}", now)
             return
         if record.state_ is not EndpointState.ACTIVE:
             return
-        in_a_row = record.failures_in_a_row_ >= FAILURES_IN_A_ROW
-        often = record.outcomes_ >= OUTCOMES_NEEDED
-        often = often and record.failure_rate_.value_ > FAILURE_RATE
-        if in_a_row or often:
+        fails_repeatedly = record.consecutive_failures_ >= EJECTION_CONSECUTIVE_FAILURES
+        fails_often = record.outcome_count_ >= MIN_OUTCOMES
+        fails_often = (
+            fails_often and record.failure_rate_.value_ > EJECTION_FAILURE_RATE
+        )
+        if fails_repeatedly or fails_often:
             self._eject(endpoint_id, record, reason, now)
 
     def take_events(self) -> list[EjectionEvent]:
-        """Return and clear what happened since the last call."""
+        """Return and clear the events since the last call."""
         events = self.events_
         self.events_ = []
         return events
@@ -191,7 +200,7 @@
     def _pass_probe(
         self, endpoint_id: EndpointId, record: _Record, slowness: float, now: float
     ) -> None:
-        record.probe_out_ = False
+        record.probe_running_ = False
         if slowness > self._slowness_limit(endpoint_id):
             self._eject(endpoint_id, record, "probe was slow", now)
             return
@@ -199,38 +208,39 @@
         if record.probes_passed_ < PROBES_TO_RESTORE:
             return
         record.reset()
-        record.ejections_ = 0
+        record.ejection_count_ = 0
         self._set_state(endpoint_id, EndpointState.ACTIVE, "probes passed")
 
     def _slowness_limit(self, endpoint_id: EndpointId) -> float:
         others = [
             record.slowness_.value_
             for other_id, record in self.records_by_id_.items()
-            if other_id != endpoint_id and record.slowness_.count_ >= SLOWNESS_NEEDED
+            if other_id != endpoint_id
+            and record.slowness_.count_ >= MIN_SLOWNESS_SAMPLES
         ]
         if len(others) < 2:
             return float("inf")
-        return max(SLOWNESS_FLOOR, SLOWNESS_RATIO * median_low(others))
+        return max(MIN_SLOWNESS_LIMIT, SLOWNESS_RATIO * median_low(others))
 
     def _eject(
         self, endpoint_id: EndpointId, record: _Record, reason: str, now: float
     ) -> None:
-        record.probe_out_ = False
+        record.probe_running_ = False
         if record.state_ is EndpointState.ACTIVE and not self._below_cap():
             return
-        duration_s = min(EJECTION_MAX_S, EJECTION_BASE_S * 2.0**record.ejections_)
-        # Jitter keeps the entries from probing a recovering endpoint all at once.
-        record.until_ = now + duration_s * self.random.uniform(0.75, 1.25)
-        record.ejections_ = min(record.ejections_ + 1, 10)
-        record.failures_in_a_row_ = 0
+        duration_s = min(EJECTION_MAX_S, EJECTION_BASE_S * 2.0**record.ejection_count_)
+        # Jitter prevents all entries from probing a recovering endpoint at once.
+        record.ejected_until_ = now + duration_s * self.random.uniform(0.75, 1.25)
+        record.ejection_count_ = min(record.ejection_count_ + 1, 10)
+        record.consecutive_failures_ = 0
         self._set_state(endpoint_id, EndpointState.EJECTED, reason)
 
     def _below_cap(self) -> bool:
         states = [record.state_ for record in self.records_by_id_.values()]
-        out = sum(state is not EndpointState.ACTIVE for state in states)
-        # In a small pool the fraction allows none, yet one of two may still go.
-        allowed = max(int(self.cap * len(states)), 1 if len(states) > 1 else 0)
-        return out < allowed
+        inactive = sum(state is not EndpointState.ACTIVE for state in states)
+        # In a small pool the fraction rounds to 0; one of two may still be ejected.
+        max_inactive = max(int(self.cap * len(states)), 1 if len(states) > 1 else 0)
+        return inactive < max_inactive
 
     def _set_state(
         self, endpoint_id: EndpointId, state: EndpointState, reason: str
--- a/packages/leadford/src/leadford/pipelines/ejection/tests/test_outliers.py
+++ b/packages/leadford/src/leadford/pipelines/ejection/tests/test_outliers.py
@@ -1,4 +1,4 @@
-"""Failing and lagging endpoints are kept from work, within a cap, for a while."""
+"""Failing and slow endpoints are ejected for a limited time, within a cap."""
 
 from random import Random
 
