--- a/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
+++ b/packages/leadford/src/leadford/pipelines/admission/_endpoint.py
@@ -58,7 +58,8 @@
 class EndpointAdmission:
     """Refuse attempts that the queue of an endpoint cannot serve in time.
 
-    Without `by_deadline`, attempts are refused only when the queue is full.
+    Without `by_deadline`, an attempt is refused only when the queue is full, or when it
+    arrives at an idle endpoint after its deadline.
     """
 
     def __init__(
--- a/packages/leadford/src/leadford/pipelines/retries/_backoff.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_backoff.py
@@ -26,6 +26,6 @@
 
     def wait_ms(self, attempt: int) -> float:
         """Return a random delay after the given number of attempts."""
-        # The exponent is bounded to avoid an overflow.
+        # Beyond the cap a larger exponent could only overflow.
         ceiling = min(self.cap_ms, self.base_ms * 2.0 ** min(attempt - 1, 30))
         return self.random.uniform(0.0, ceiling)
--- a/packages/leadford/src/leadford/pipelines/retries/_decision.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_decision.py
@@ -91,7 +91,7 @@
         wait_ms = 0.0 if not needs_backoff else self.backoff.wait_ms(attempt)
         if wait_ms + needed_ms > remaining_ms:
             return RetryDecision(False, reason=RefusalReason.DEADLINE)
-        # A first refusal is free. For a move the caller has spent the budget already.
+        # A first refusal only moves the attempt; for MOVED the caller spent the budget.
         is_free = failure.kind is FailureKind.REFUSED and attempt == 1
         is_free = is_free or failure.kind is FailureKind.MOVED
         if not is_free and not self.budget.try_spend():
--- a/packages/leadford/src/leadford/pipelines/retries/_rescue.py
+++ b/packages/leadford/src/leadford/pipelines/retries/_rescue.py
@@ -41,7 +41,7 @@
         if elsewhere_ms * self.safety_factor > remaining_ms:
             return False
         if received < MIN_TOKENS:
-            # A queue or a long prompt may be the cause, so move only if it gets late.
+            # A queue or a long prompt may be the cause, so wait until the last window.
             return (
                 remaining_ms - elsewhere_ms * self.safety_factor < LAST_MOVE_WINDOW_MS
             )
--- a/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
+++ b/packages/leadford/src/leadford/pipelines/routing/_prefixes.py
@@ -14,7 +14,7 @@
 
 
 class PrefixIndex:
-    """Hold a bounded number of prefixes that expire; each is only a hint."""
+    """Hold prefixes as hints: bounded in number, expiring, updated by outcomes."""
 
     def __init__(
         self, *, capacity: int = MAX_PREFIXES, lifetime_s: float = PREFIX_LIFETIME_S
