--- a/packages/leadford/src/leadford/pipelines/config/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: its typed model, its checks, its stored form and its audit trail."""
+"""Configuration: typed model, validation, stored form and audit records."""
 
 from leadford.pipelines.config._change import (
     ConfigChange,
--- a/packages/leadford/src/leadford/pipelines/config/_change.py
+++ b/packages/leadford/src/leadford/pipelines/config/_change.py
@@ -1,7 +1,8 @@
-"""Turn an operator's change into the next head, or say why it cannot be made.
+"""Build the next head from an operator's change, or return why it is invalid.
 
-Called by the entry that an operator asked. The chunks are stored first, then the head
-by conditional update: a change that lost a race is made again from the newer head.
+Called by the entry that received the operator's command. The chunks are stored first,
+then the head by a conditional update. If another change was stored in between, the
+update fails and the change is built again from the newer head.
 """
 
 import msgspec
@@ -10,7 +11,7 @@
 from leadford.pipelines.config._check import ConfigFault, check_config
 from leadford.pipelines.config._model import FleetConfig
 from leadford.pipelines.config._store_form import (
-    AUDIT_RECORDS_KEPT,
+    MAX_AUDIT_RECORDS,
     AuditRecord,
     ChunkDelta,
     ConfigChunk,
@@ -21,7 +22,7 @@
 
 
 class ConfigChange(msgspec.Struct, frozen=True):
-    """Hold the next head and the chunks that must be stored before it."""
+    """Hold the next head, the chunks to store before it and the keys no longer used."""
 
     head: ConfigHead
     new_chunks: tuple[ConfigChunk, ...]
@@ -29,14 +30,14 @@
 
 
 def make_head(config: FleetConfig) -> ConfigHead:
-    """Return the head of a first version without audit records."""
+    """Return the head of version 1, without audit records."""
     keys = {name: chunk.key for name, chunk in split(config).items()}
     return ConfigHead(1, keys)
 
 
 def with_audit(head: ConfigHead, record: AuditRecord) -> ConfigHead:
-    """Return a head that carries one more audit record, within the bound."""
-    audit = (*head.audit, record)[-AUDIT_RECORDS_KEPT:]
+    """Append an audit record to a head and drop the oldest beyond the maximum."""
+    audit = (*head.audit, record)[-MAX_AUDIT_RECORDS:]
     return msgspec.structs.replace(head, audit=audit)
 
 
@@ -49,21 +50,21 @@
     command: str,
     at_s: float,
 ) -> Result[ConfigChange, tuple[ConfigFault, ...]]:
-    """Build the change that puts a configuration in force after a head."""
+    """Build the change from the version of a head to a new configuration."""
     faults = check_config(config)
     if faults:
         return Failure(tuple(faults))
     keys: dict[str, str] = {}
-    new: list[ConfigChunk] = []
+    new_chunks: list[ConfigChunk] = []
     for name, chunk in split(config, head.version + 1).items():
-        known = head.keys_by_chunk.get(name, "")
-        if digest_of_key(known) == digest_of_key(chunk.key):
-            keys[name] = known
+        stored_key = head.keys_by_chunk.get(name, "")
+        if digest_of_key(stored_key) == digest_of_key(chunk.key):
+            keys[name] = stored_key
             continue
         keys[name] = chunk.key
-        new.append(chunk)
+        new_chunks.append(chunk)
     origin = (command_id, operator, command, at_s)
-    return Success(_next_change(head, keys, new, origin))
+    return Success(_next_change(head, keys, new_chunks, origin))
 
 
 def undo_to(
@@ -90,7 +91,7 @@
 def _next_change(
     head: ConfigHead,
     keys: dict[str, str],
-    new: list[ConfigChunk],
+    new_chunks: list[ConfigChunk],
     origin: tuple[str, str, str, float],
 ) -> ConfigChange:
     command_id, operator, command, at_s = origin
@@ -109,13 +110,13 @@
         command=command,
         deltas=tuple(deltas),
     )
-    bare = ConfigHead(head.version + 1, keys, head.audit)
-    next_head = with_audit(bare, record)
-    dropped = _reachable(head) - _reachable(next_head)
-    return ConfigChange(next_head, tuple(new), tuple(sorted(dropped)))
+    head_without_record = ConfigHead(head.version + 1, keys, head.audit)
+    next_head = with_audit(head_without_record, record)
+    dropped = _reachable_keys(head) - _reachable_keys(next_head)
+    return ConfigChange(next_head, tuple(new_chunks), tuple(sorted(dropped)))
 
 
-def _reachable(head: ConfigHead) -> set[str]:
+def _reachable_keys(head: ConfigHead) -> set[str]:
     keys = set(head.keys_by_chunk.values())
     for record in head.audit:
         keys.update(delta.before for delta in record.deltas)
--- a/packages/leadford/src/leadford/pipelines/config/_check.py
+++ b/packages/leadford/src/leadford/pipelines/config/_check.py
@@ -1,4 +1,4 @@
-"""Check a configuration whole and list every fault with its path.
+"""Validate a complete configuration and list every fault with its path.
 
 Called before a change is stored and again when a stored configuration is read.
 """
@@ -24,7 +24,7 @@
 from leadford.pipelines.queues import queue_policies
 from leadford.pipelines.routing import routing_policies
 
-_TABLES = {
+_PART_TYPES_BY_TABLE = {
     "pools": PoolConfig,
     "endpoints": EndpointConfig,
     "entries": EntryConfig,
@@ -36,7 +36,7 @@
 
 
 class ConfigFault(msgspec.Struct, frozen=True):
-    """Name one fault of a configuration: where it is and what was expected."""
+    """Describe one fault of a configuration: its path and what was expected."""
 
     path: str
     message: str
@@ -50,20 +50,23 @@
 ) -> Result[FleetConfig, tuple[ConfigFault, ...]]:
     """Build a configuration from a parsed document.
 
-    Errors: every fault found, shape first, then references between parts.
+    Errors: every fault of structure and values; if there are none, every fault that
+    `check_config` finds.
     """
     faults: list[ConfigFault] = []
     parts_by_table: dict[str, dict[str, Any]] = {}
-    for name in sorted(set(document) - {*_TABLES, "objective", "tuning"}):
+    for name in sorted(set(document) - {*_PART_TYPES_BY_TABLE, "objective", "tuning"}):
         faults.append(ConfigFault(name, "unknown table"))
-    for table, kind in _TABLES.items():
-        parts_by_table[table] = _convert_table(document, table, kind, faults)
+    for table, part_type in _PART_TYPES_BY_TABLE.items():
+        parts_by_table[table] = _convert_table(document, table, part_type, faults)
     tuning = _convert(document.get("tuning", {}), TuningConfig, "tuning", faults)
-    head = {"objective": document.get("objective", "attainment")}
-    shell = _convert(head, FleetConfig, "", faults)
+    top_level_fields = {"objective": document.get("objective", "attainment")}
+    config_without_parts = _convert(top_level_fields, FleetConfig, "", faults)
     if faults:
         return Failure(tuple(faults))
-    config = msgspec.structs.replace(shell, tuning=tuning, **parts_by_table)
+    config = msgspec.structs.replace(
+        config_without_parts, tuning=tuning, **parts_by_table
+    )
     faults = check_config(config)
     if faults:
         return Failure(tuple(faults))
@@ -71,7 +74,7 @@
 
 
 def _convert_table(
-    document: dict[str, Any], table: str, kind: type, faults: list[ConfigFault]
+    document: dict[str, Any], table: str, part_type: type, faults: list[ConfigFault]
 ) -> dict[str, Any]:
     raw = document.get(table, {})
     if not isinstance(raw, dict):
@@ -81,26 +84,26 @@
     for name, value in raw.items():
         path = f"{table}.{name}"
         _convert({name: None}, dict[Name, None], path, faults)
-        parts[name] = _convert(value, kind, path, faults)
+        parts[name] = _convert(value, part_type, path, faults)
     return parts
 
 
-def _convert(value: Any, kind: Any, path: str, faults: list[ConfigFault]) -> Any:
-    known = getattr(kind, "__struct_fields__", None)
-    if known is not None and isinstance(value, dict):
-        for field in sorted(set(value) - set(known)):
+def _convert(value: Any, target_type: Any, path: str, faults: list[ConfigFault]) -> Any:
+    known_fields = getattr(target_type, "__struct_fields__", None)
+    if known_fields is not None and isinstance(value, dict):
+        for field in sorted(set(value) - set(known_fields)):
             faults.append(ConfigFault(f"{path}.{field}", "unknown setting"))
     try:
-        # TOML has arrays only, so lists become the tuples that the model holds.
-        return msgspec.convert(value, kind)
+        # TOML has no tuples: msgspec converts its arrays to the tuples of the model.
+        return msgspec.convert(value, target_type)
     except msgspec.ValidationError as error:
-        text, _, where = str(error).partition(" - at `$")
-        faults.append(ConfigFault((path + where.rstrip("`")).lstrip("."), text))
+        text, _, error_path = str(error).partition(" - at `$")
+        faults.append(ConfigFault((path + error_path.rstrip("`")).lstrip("."), text))
         return None
 
 
 def check_config(config: FleetConfig) -> list[ConfigFault]:
-    """Return the faults between the parts of a well-formed configuration."""
+    """Return the faults in policies, references and totals of a typed configuration."""
     faults: list[ConfigFault] = []
     _check_policies(config, faults)
     _check_pipelines(config, faults)
@@ -117,15 +120,17 @@
 
 
 def _check_policies(config: FleetConfig, faults: list[ConfigFault]) -> None:
-    known = ", ".join(routing_policies)
+    routing_names = ", ".join(routing_policies)
     if config.tuning.routing not in routing_policies:
-        faults.append(ConfigFault("tuning.routing", f"expected one of: {known}"))
+        faults.append(
+            ConfigFault("tuning.routing", f"expected one of: {routing_names}")
+        )
     if config.tuning.queue not in queue_policies:
         text = f"expected one of: {', '.join(queue_policies)}"
         faults.append(ConfigFault("tuning.queue", text))
     for name, pool in config.pools.items():
         if pool.routing and pool.routing not in routing_policies:
-            text = f"expected one of: {known}"
+            text = f"expected one of: {routing_names}"
             faults.append(ConfigFault(f"pools.{name}.routing", text))
 
 
@@ -167,17 +172,18 @@
             faults.append(ConfigFault(f"workspaces.{name}.key_hashes", text))
 
 
-FIXED_TUNING = ("claim_shards", "claim_ring")
+FIXED_TUNING_FIELDS = ("claim_shards", "claim_ring")
 
 
 def check_transition(before: FleetConfig, after: FleetConfig) -> list[ConfigFault]:
-    """Return the faults of putting one configuration in force after another."""
+    """Return the faults of replacing a configuration in force by another."""
     faults: list[ConfigFault] = []
-    for name in FIXED_TUNING:
-        known = getattr(before.tuning, name)
-        if getattr(after.tuning, name) == known:
+    for name in FIXED_TUNING_FIELDS:
+        previous = getattr(before.tuning, name)
+        if getattr(after.tuning, name) == previous:
             continue
-        # Processes that follow at different moments would claim a key in two places.
-        text = f"must stay {known} while the fleet runs: claims are found by it"
+        # Processes adopt a version at different moments. In between, they would claim
+        # the same key in two places.
+        text = f"must stay {previous} while the fleet runs: claims are found by it"
         faults.append(ConfigFault(f"tuning.{name}", text))
     return faults
--- a/packages/leadford/src/leadford/pipelines/config/_model.py
+++ b/packages/leadford/src/leadford/pipelines/config/_model.py
@@ -1,8 +1,8 @@
 """Define the typed configuration of a fleet.
 
-The stored form (`_store_form`), the file that an operator applies and the language all
-use these names; fields may be added with a default, never renamed. Values that depend
-on each other are checked by `_check`.
+The stored form (`_store_form`), the file that an operator applies and the operators'
+language all use these field names. A field may be added with a default, but never
+renamed. `_check` validates values that depend on each other.
 """
 
 from typing import Annotated
@@ -20,7 +20,7 @@
 
 
 class _Part(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Mark a frozen part of the configuration."""
+    """Base class of the parts of the configuration; parts are immutable."""
 
 
 class StageConfig(_Part):
@@ -40,9 +40,9 @@
 
 
 class PipelineConfig(_Part):
-    """Describe a pipeline: its stages, class of priority and deadline.
+    """Describe a pipeline: its stages, priority class and deadline.
 
-    Units: priority 0 is served first; weight counts a completed request.
+    Units: priority 0 is served first; weight is how much a completed request counts.
     """
 
     stages: Annotated[tuple[StageConfig, ...], msgspec.Meta(min_length=1, max_length=8)]
@@ -66,7 +66,7 @@
 
 
 class EndpointConfig(_Part):
-    """Describe an endpoint and the agent beside it."""
+    """Describe an endpoint and its agent."""
 
     pool: Name
     host: Name
@@ -78,7 +78,7 @@
 
 
 class EntryConfig(_Part):
-    """Describe an entry process and where its peers reach it."""
+    """Describe an entry process and the address at which its peers reach it."""
 
     host: Name
     hall: Name
@@ -86,7 +86,7 @@
 
 
 class WorkspaceConfig(_Part):
-    """Describe a workspace: its share of each pool and its API keys, as hashes."""
+    """Describe a workspace: its share of each pool and the hashes of its API keys."""
 
     share: Share = 1.0
     minimum: Fraction = 0.0
@@ -95,14 +95,14 @@
 
 
 class OperatorConfig(_Part):
-    """Describe an operator, known by the hash of a token."""
+    """Describe an operator, identified by the hash of a token."""
 
     token_hash: Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
     can_change: bool = True
 
 
 class ModelConfig(_Part):
-    """Describe a model: its versions, memory and wanted copies in a pool."""
+    """Describe a model: its version, load size and number of copies in a pool."""
 
     pool: Name
     version: Name
@@ -112,7 +112,7 @@
 
 
 class TuningConfig(_Part):
-    """Set the limits and policies that hold for the whole deployment."""
+    """Set the limits and policies of the whole deployment."""
 
     routing: str = "expected_finish"
     queue: str = "weighted_fair"
@@ -129,7 +129,7 @@
 
 
 class FleetConfig(_Part):
-    """Hold the whole configuration of a deployment."""
+    """Hold the complete configuration of a deployment."""
 
     objective: Objective = Objective.ATTAINMENT
     tuning: TuningConfig = TuningConfig()
@@ -142,7 +142,7 @@
     models: dict[Name, ModelConfig] = {}
 
     def terms(self, workspace: WorkspaceId) -> WorkspaceTerms:
-        """Return what a workspace is entitled to; an unknown one gets a plain share."""
+        """Return the share and minimum of a workspace; defaults for an unknown one."""
         found = self.workspaces.get(workspace)
         if found is None:
             return WorkspaceTerms()
--- a/packages/leadford/src/leadford/pipelines/config/_store_form.py
+++ b/packages/leadford/src/leadford/pipelines/config/_store_form.py
@@ -1,8 +1,8 @@
-"""Keep a configuration in the store as a head and immutable chunks.
+"""Define the stored form of a configuration: a head and immutable chunks.
 
-The head names every chunk by key and carries the last audit records, so one
-conditional update of it accepts a change and its record together. Workspaces are
-spread over many chunks by a hash of their id: a change of one rewrites one chunk.
+The head holds the key of every chunk and the latest audit records, so one conditional
+update of the head stores a change together with its record. Workspaces are distributed
+over many chunks by a hash of their id, so changing one workspace rewrites one chunk.
 """
 
 from hashlib import blake2b
@@ -16,15 +16,15 @@
 from leadford.pipelines.config._check import ConfigFault, check_config
 from leadford.pipelines.config._model import FleetConfig, WorkspaceConfig
 
-# Chunks over which the workspaces are spread, a part of the stored form.
-WORKSPACE_CHUNKS = 64
-# Audit records in a head; the oldest are dropped.
-AUDIT_RECORDS_KEPT = 200
-BASE_CHUNK = "base"
+# Chunks that the workspaces are distributed over; part of the stored form.
+WORKSPACE_CHUNK_COUNT = 64
+# Audit records in a head; beyond this the oldest are dropped.
+MAX_AUDIT_RECORDS = 200
+BASE_CHUNK_NAME = "base"
 
 
 class ChunkDelta(msgspec.Struct, frozen=True, array_like=True):
-    """Say how one chunk changed, by key; an empty key stands for no chunk."""
+    """Record the keys of one chunk before and after; an empty key means no chunk."""
 
     name: str
     before: str
@@ -47,7 +47,7 @@
 
 
 class ConfigHead(msgspec.Struct, frozen=True, array_like=True):
-    """Name the chunks of one configuration version by their keys."""
+    """Hold the chunk keys and the audit records of one configuration version."""
 
     version: int
     keys_by_chunk: dict[str, str]
@@ -55,7 +55,7 @@
 
 
 class ConfigChunk(msgspec.Struct, frozen=True):
-    """Hold one encoded chunk, the name it goes by and the key it is stored under."""
+    """Hold one encoded chunk, its name and the key it is stored under."""
 
     name: str
     key: str
@@ -72,33 +72,34 @@
     return key.rpartition("-")[2]
 
 
-def _chunk(name: str, value: Any, version: int) -> ConfigChunk:
+def _encode_chunk(name: str, value: Any, version: int) -> ConfigChunk:
     data = cbor2.dumps(msgspec.to_builtins(value), canonical=True)
-    # The version in the key keeps a late removal of an old chunk from hitting a new
-    # one of the same content.
+    # The key includes the version so that a late removal of an old chunk cannot delete
+    # a new chunk with the same content.
     return ConfigChunk(name, f"{version}-{chunk_digest(data)}", data)
 
 
 def split(config: FleetConfig, version: int = 1) -> dict[str, ConfigChunk]:
-    """Return the chunks of a configuration by name, with keys of a version."""
+    """Encode a configuration as chunks by name, with keys that include the version."""
     chunks_by_name: dict[str, ConfigChunk] = {}
     base = msgspec.structs.replace(config, workspaces={})
-    chunks_by_name[BASE_CHUNK] = _chunk(BASE_CHUNK, base, version)
+    chunks_by_name[BASE_CHUNK_NAME] = _encode_chunk(BASE_CHUNK_NAME, base, version)
     workspaces_by_chunk: dict[str, dict[str, WorkspaceConfig]] = {}
     for name, workspace in config.workspaces.items():
-        chunk_name = f"workspaces-{stable_hash(name) % WORKSPACE_CHUNKS:02d}"
+        chunk_name = f"workspaces-{stable_hash(name) % WORKSPACE_CHUNK_COUNT:02d}"
         workspaces_by_chunk.setdefault(chunk_name, {})[name] = workspace
     for chunk_name, workspaces in workspaces_by_chunk.items():
-        chunks_by_name[chunk_name] = _chunk(chunk_name, workspaces, version)
+        chunks_by_name[chunk_name] = _encode_chunk(chunk_name, workspaces, version)
     return chunks_by_name
 
 
 def assemble(
     head: ConfigHead, data_by_key: dict[str, bytes]
 ) -> Result[FleetConfig, ConfigFault]:
-    """Build the configuration that a head names.
+    """Build the configuration from the chunks that a head refers to.
 
-    Errors: a chunk that is missing, corrupt or not understood by this process.
+    Errors: a chunk that is missing, corrupt or not readable by this process, or the
+    first fault of the assembled configuration.
     """
     workspaces: dict[str, WorkspaceConfig] = {}
     base: FleetConfig | None = None
@@ -108,17 +109,19 @@
             return Failure(ConfigFault(f"chunk {name}", "missing"))
         if chunk_digest(data) != digest_of_key(key):
             return Failure(ConfigFault(f"chunk {name}", "digest does not match"))
-        kind = FleetConfig if name == BASE_CHUNK else dict[str, WorkspaceConfig]
+        chunk_type = (
+            FleetConfig if name == BASE_CHUNK_NAME else dict[str, WorkspaceConfig]
+        )
         try:
-            part = msgspec.convert(cbor2.loads(data), kind)
+            part = msgspec.convert(cbor2.loads(data), chunk_type)
         except (cbor2.CBORDecodeError, msgspec.ValidationError) as error:
             return Failure(ConfigFault(f"chunk {name}", str(error)))
-        if name == BASE_CHUNK:
+        if name == BASE_CHUNK_NAME:
             base = part
             continue
         workspaces.update(part)
     if base is None:
-        return Failure(ConfigFault(f"chunk {BASE_CHUNK}", "missing"))
+        return Failure(ConfigFault(f"chunk {BASE_CHUNK_NAME}", "missing"))
     config = msgspec.structs.replace(base, workspaces=workspaces)
     faults = check_config(config)
     if faults:
@@ -127,12 +130,15 @@
 
 
 def encode_head(head: ConfigHead) -> bytes:
-    """Return a head in its stored form."""
+    """Encode a head for the store."""
     return cbor2.dumps(msgspec.to_builtins(head))
 
 
 def decode_head(data: bytes) -> Result[ConfigHead, ConfigFault]:
-    """Return the head in a stored form."""
+    """Decode a stored head.
+
+    Errors: data that is not a valid head.
+    """
     try:
         return Success(msgspec.convert(cbor2.loads(data), ConfigHead))
     except (cbor2.CBORDecodeError, ValueError, msgspec.ValidationError) as error:
@@ -140,7 +146,7 @@
 
 
 class ConfigTracker:
-    """Hold the newest configuration this process could read; only move forward."""
+    """Hold the newest configuration that this process could read; never go back."""
 
     def __init__(self) -> None:
         self.head_: ConfigHead | None = None
@@ -150,25 +156,25 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force here, 0 before the first."""
+        """Return the version in force in this process, 0 before the first."""
         return self.head_.version if self.head_ is not None else 0
 
     def is_newer(self, version: int) -> bool:
-        """Tell whether a version lies ahead of the one in force."""
+        """Return whether a version is newer than the one in force."""
         return version > self.version
 
     def missing_keys(self, head: ConfigHead) -> list[str]:
-        """Return the keys that must be fetched before a head can be taken."""
-        wanted = set(head.keys_by_chunk.values())
-        return sorted(wanted - set(self.data_by_key_))
+        """Return the keys of the chunks to fetch before a head can be adopted."""
+        required_keys = set(head.keys_by_chunk.values())
+        return sorted(required_keys - set(self.data_by_key_))
 
     def offer(
         self, head: ConfigHead, fetched_by_key: dict[str, bytes]
     ) -> Result[FleetConfig, ConfigFault]:
-        """Take a head and its chunks if it is newer and whole.
+        """Adopt a head and its chunks if the version is newer and readable.
 
-        Errors: a version that is not newer, or one that cannot be read; what is in
-        force stays in force.
+        Errors: a version that is not newer, or one that cannot be read; the version in
+        force then stays in force.
         """
         if not self.is_newer(head.version):
             return Failure(ConfigFault("head", f"version {head.version} is not newer"))
@@ -180,6 +186,6 @@
         self.head_ = head
         self.config_ = result.unwrap()
         self.unread_version_ = 0
-        wanted = set(head.keys_by_chunk.values())
-        self.data_by_key_ = {key: data_by_key[key] for key in wanted}
+        required_keys = set(head.keys_by_chunk.values())
+        self.data_by_key_ = {key: data_by_key[key] for key in required_keys}
         return result
--- a/packages/leadford/src/leadford/pipelines/config/tests/test_config.py
+++ b/packages/leadford/src/leadford/pipelines/config/tests/test_config.py
@@ -1,4 +1,4 @@
-"""A configuration is checked whole, moves only forward and can be undone."""
+"""Configurations are validated completely, never go back a version, can be undone."""
 
 import msgspec
 import pytest
@@ -41,7 +41,7 @@
     return config_from_document(DOCUMENT).unwrap()
 
 
-def data_of(config):
+def chunk_data_by_key(config):
     return {chunk.key: chunk.data for chunk in split(config).values()}
 
 
@@ -87,15 +87,15 @@
 def test_a_configuration_survives_the_store():
     config = make_config()
     head = decode_head(encode_head(make_head(config))).unwrap()
-    assert assemble(head, data_of(config)).unwrap() == config
+    assert assemble(head, chunk_data_by_key(config)).unwrap() == config
 
 
 def test_one_workspace_changes_one_chunk():
     config = make_config()
-    made = change(make_head(config), with_share(config, "w7", 5.0))
-    assert len(made.new_chunks) == 1
-    assert [delta.name for delta in made.head.audit[0].deltas] == [
-        made.new_chunks[0].name
+    config_change = change(make_head(config), with_share(config, "w7", 5.0))
+    assert len(config_change.new_chunks) == 1
+    assert [delta.name for delta in config_change.head.audit[0].deltas] == [
+        config_change.new_chunks[0].name
     ]
 
 
@@ -122,9 +122,9 @@
     head = make_head(config)
     dropped = set()
     for number in range(260):
-        made = change(head, with_share(config, "w7", 1.0 + number % 250))
-        dropped.update(made.dropped_keys)
-        head = made.head
+        config_change = change(head, with_share(config, "w7", 1.0 + number % 250))
+        dropped.update(config_change.dropped_keys)
+        head = config_change.head
         assert not dropped & set(head.keys_by_chunk.values())
     assert len(head.audit) == 200
     assert dropped
@@ -137,7 +137,9 @@
     tracker = ConfigTracker()
     seen = []
     for version in versions:
-        tracker.offer(msgspec.structs.replace(head, version=version), data_of(config))
+        tracker.offer(
+            msgspec.structs.replace(head, version=version), chunk_data_by_key(config)
+        )
         seen.append(tracker.version)
     assert seen == sorted(seen)
     assert tracker.version == max(versions, default=0)
@@ -148,17 +150,17 @@
     config = make_config()
     tracker = ConfigTracker()
     head = make_head(config)
-    tracker.offer(head, data_of(config))
-    made = change(head, with_share(config, "w7", 5.0))
-    chunk = made.new_chunks[0]
+    tracker.offer(head, chunk_data_by_key(config))
+    config_change = change(head, with_share(config, "w7", 5.0))
+    chunk = config_change.new_chunks[0]
     data = {"missing": {}, "corrupt": {chunk.key: b"junk"}}.get(fault)
     if data is None:
-        keys = {**made.head.keys_by_chunk, chunk.name: "2-" + "0" * 32}
-        made_head = msgspec.structs.replace(made.head, keys_by_chunk=keys)
+        keys = {**config_change.head.keys_by_chunk, chunk.name: "2-" + "0" * 32}
+        changed_head = msgspec.structs.replace(config_change.head, keys_by_chunk=keys)
         data = {"2-" + "0" * 32: chunk.data}
     else:
-        made_head = made.head
-    assert isinstance(tracker.offer(made_head, data), Failure)
+        changed_head = config_change.head
+    assert isinstance(tracker.offer(changed_head, data), Failure)
     assert tracker.version == 1
     assert tracker.unread_version_ == 2
     assert tracker.config_ == config
--- a/packages/leadford/src/leadford/pipelines/config/tests/test_stored_form.py
+++ b/packages/leadford/src/leadford/pipelines/config/tests/test_stored_form.py
@@ -1,11 +1,11 @@
-"""Configurations that stores hold are read, and written the same."""
+"""Stored configurations are readable, and are encoded to the same bytes again."""
 
 from returns.result import Success
 
 from leadford.pipelines.config import ConfigTracker, decode_head, encode_head, split
 
-# Made from examples/fleet.toml and kept as bytes: another form would leave processes
-# unable to read the store during an upgrade.
+# Made from examples/fleet.toml and kept as bytes: if the stored form changed, processes
+# could not read the store during an upgrade.
 HEAD = bytes.fromhex(
     "8307a264626173657822372d3937313561633831333337393161333761353938303565313931"
     "6533323537396d776f726b7370616365732d30387822372d3231613330613634303763356438"
