--- a/packages/leadford/src/leadford/pipelines/language/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/language/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' language: statements, their grammar, and the changes they make."""
+"""The operators' language: statements, grammar, and the changes that commands make."""
 
 from leadford.pipelines.language._apply import CommandError, plan_command
 from leadford.pipelines.language._parse import SyntaxFault, parse
--- a/packages/leadford/src/leadford/pipelines/language/_grammar.py
+++ b/packages/leadford/src/leadford/pipelines/language/_grammar.py
@@ -1,6 +1,6 @@
-"""Hold the one grammar of the operators' language.
+"""Define the grammar of the operators' language.
 
-docs/operators describes it for those who use it; a name after `->` is a method of
+docs/operators describes the language for its users. A name after `->` is a method of
 `_parse._Builder`.
 """
 
--- a/packages/leadford/src/leadford/pipelines/language/_parse.py
+++ b/packages/leadford/src/leadford/pipelines/language/_parse.py
@@ -1,8 +1,8 @@
-"""Turn a text into a statement, or say at which column it went wrong.
+"""Parse a text into a statement, or return the column of the syntax error.
 
-Used by the entry for texts of operators. The grammar is in `_grammar`, the statements
-in `_statements`; methods of `_Builder` are named after the rules and aliases of the
-grammar.
+The entry parses the texts of operators with it. The grammar is in `_grammar`, the
+statements are in `_statements`. The methods of `_Builder` are named after the rules and
+aliases of the grammar.
 """
 
 import msgspec
@@ -13,14 +13,13 @@
 from leadford.pipelines.language import _statements as s
 from leadford.pipelines.language._grammar import GRAMMAR
 
-# Characters of a statement at most.
-STATEMENT_CHARS_MAX = 2000
-# Expected words that a fault names at most.
-EXPECTED_SHOWN = 12
+MAX_STATEMENT_CHARS = 2000
+# Expected words that a syntax error lists.
+MAX_EXPECTED_COUNT = 12
 
 
 class SyntaxFault(msgspec.Struct, frozen=True):
-    """Say where a text is no statement and what was expected there.
+    """Describe a syntax error: its column and what was expected there.
 
     Units: column counts from 1.
     """
@@ -30,19 +29,19 @@
     text: str
 
     def __str__(self) -> str:
-        wanted = ", ".join(self.expected)
-        return f"column {self.column}: expected {wanted}"
+        expected_text = ", ".join(self.expected)
+        return f"column {self.column}: expected {expected_text}"
 
 
 class _WorkspaceTerm(msgspec.Struct, frozen=True):
-    """Hold one term of `add workspace`."""
+    """Hold one term of an `add workspace` command."""
 
     name: str
     value: str | float
 
 
 class _Builder(Transformer):
-    """Build statements from the parts of a parse."""
+    """Build statements from the nodes of a parse tree."""
 
     def start(self, parts):
         return parts[0]
@@ -165,13 +164,13 @@
 
 
 def parse(text: str) -> Result[s.Statement, SyntaxFault]:
-    """Return the statement in a text.
+    """Parse the statement in a text.
 
-    Errors: the first column that does not fit, and what would.
+    Errors: the column of the first syntax error, and what was expected there.
     """
-    if len(text) > STATEMENT_CHARS_MAX:
-        expected = (f"at most {STATEMENT_CHARS_MAX} characters",)
-        return Failure(SyntaxFault(STATEMENT_CHARS_MAX + 1, expected, ""))
+    if len(text) > MAX_STATEMENT_CHARS:
+        expected = (f"at most {MAX_STATEMENT_CHARS} characters",)
+        return Failure(SyntaxFault(MAX_STATEMENT_CHARS + 1, expected, ""))
     try:
         return Success(_Builder().transform(_PARSER.parse(text)))
     except UnexpectedInput as error:
@@ -181,19 +180,23 @@
 
 
 def _fault(error: UnexpectedInput, text: str) -> SyntaxFault:
-    names = getattr(error, "allowed", None) or getattr(error, "expected", None) or ()
-    known = {terminal.name: terminal for terminal in _PARSER.terminals}
-    wanted: set[str] = set()
-    for name in names:
-        terminal = known.get(str(name))
+    terminal_names = (
+        getattr(error, "allowed", None) or getattr(error, "expected", None) or ()
+    )
+    terminals_by_name = {terminal.name: terminal for terminal in _PARSER.terminals}
+    descriptions: set[str] = set()
+    for name in terminal_names:
+        terminal = terminals_by_name.get(str(name))
         if terminal is None or terminal.name == "WS":
             continue
         is_word = terminal.pattern.type == "str"
-        wanted.add(repr(terminal.pattern.value) if is_word else _describe(terminal))
+        descriptions.add(
+            repr(terminal.pattern.value) if is_word else _describe(terminal)
+        )
     column = getattr(error, "column", -1)
     if not isinstance(error, UnexpectedCharacters) or column < 1:
         column = len(text.rstrip()) + 1
-    expected = tuple(sorted(wanted))[:EXPECTED_SHOWN] or ("the end",)
+    expected = tuple(sorted(descriptions))[:MAX_EXPECTED_COUNT] or ("the end",)
     return SyntaxFault(column, expected, text)
 
 
--- a/packages/leadford/src/leadford/pipelines/language/_statements.py
+++ b/packages/leadford/src/leadford/pipelines/language/_statements.py
@@ -1,7 +1,7 @@
-"""Define the statements of the operators' language as frozen records.
+"""Define the statements of the operators' language as immutable records.
 
-Made by `_parse`; queries are answered by the entry, commands applied by `_apply`. The
-values of the Enums are the words of the language.
+`_parse` creates them; the entry answers queries and `_apply` applies commands. The
+values of the enums are the words of the language.
 """
 
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class Subject(Enum):
-    """Name what a query shows."""
+    """List the subjects that a query can show."""
 
     REQUESTS = "requests"
     QUEUE = "queue"
@@ -28,7 +28,7 @@
 
 
 class Scope(Enum):
-    """Name what a drain covers."""
+    """List the scopes of a drain."""
 
     ENDPOINT = "endpoint"
     HOST = "host"
@@ -36,7 +36,7 @@
 
 
 class Comparison(Enum):
-    """Name how a condition compares."""
+    """List the comparison operators of a condition."""
 
     EQUAL = "="
     UNEQUAL = "!="
@@ -55,11 +55,11 @@
 
 
 class _Statement(msgspec.Struct, frozen=True, tag=True):
-    """Mark a statement."""
+    """Base class of the statements; a statement is tagged with its class name."""
 
 
 class Show(_Statement):
-    """Show a table; `by` groups costs; a limit of 0 shows all."""
+    """Show a table; `by` groups costs and a limit of 0 shows all rows."""
 
     subject: Subject
     conditions: tuple[Condition, ...] = ()
@@ -68,13 +68,13 @@
 
 
 class Explain(_Statement):
-    """Explain where a request went and why."""
+    """Explain where a request was sent and why."""
 
     request_id: str
 
 
 class Drain(_Statement):
-    """Take endpoints out of service, or put them back."""
+    """Take endpoints out of service, or put them back into service."""
 
     scope: Scope
     name: str
@@ -82,14 +82,14 @@
 
 
 class SetPipelinePriority(_Statement):
-    """Set the class of priority of a pipeline."""
+    """Set the priority class of a pipeline."""
 
     pipeline: str
     priority: int
 
 
 class SetWorkspacePriority(_Statement):
-    """Move all requests of a workspace by classes of priority."""
+    """Shift all requests of a workspace by a number of priority classes."""
 
     workspace: str
     offset: int
@@ -110,7 +110,7 @@
 
 
 class SetObjective(_Statement):
-    """Set what the deployment optimises."""
+    """Set the objective that the deployment optimises."""
 
     objective: str
 
@@ -171,14 +171,14 @@
 
 
 class PausePipeline(_Statement):
-    """Stop or resume taking requests for a pipeline."""
+    """Stop or resume accepting requests for a pipeline."""
 
     pipeline: str
     paused: bool
 
 
 class LoadModel(_Statement):
-    """Want copies of a model version in a pool."""
+    """Set the version of a model, its pool and its number of copies."""
 
     model: str
     version: str
@@ -187,13 +187,13 @@
 
 
 class UnloadModel(_Statement):
-    """Want no copy of a model."""
+    """Remove a model, so that no copy is kept."""
 
     model: str
 
 
 class PinModel(_Statement):
-    """Keep a model on an endpoint."""
+    """Pin a model to an endpoint."""
 
     model: str
     endpoint: str
--- a/packages/leadford/src/leadford/pipelines/language/_tables.py
+++ b/packages/leadford/src/leadford/pipelines/language/_tables.py
@@ -1,6 +1,7 @@
-"""Hold the rows that a query answers, and filter them.
+"""Hold the rows that answer a query, and filter them.
 
-Filled by the entry that was asked, from its own state and from the answers of others.
+The entry that received the query fills the table from its own state and from the
+answers of other processes.
 """
 
 import operator
@@ -32,14 +33,14 @@
 def filter_table(
     table: Table, conditions: tuple[Condition, ...], limit: int = 0
 ) -> Result[Table, str]:
-    """Return the rows that meet every condition.
+    """Return a table of the rows that meet every condition.
 
     Errors: a condition on a column that the table does not have.
     """
     for condition in conditions:
         if condition.column not in table.columns:
-            known = ", ".join(table.columns)
-            return Failure(f"no column {condition.column!r}; there are: {known}")
+            column_names = ", ".join(table.columns)
+            return Failure(f"no column {condition.column!r}; there are: {column_names}")
     kept: list[list[Cell]] = []
     for row in table.rows:
         if all(_meets(row, table.columns, condition) for condition in conditions):
--- a/packages/leadford/src/leadford/pipelines/language/tests/test_language.py
+++ b/packages/leadford/src/leadford/pipelines/language/tests/test_language.py
@@ -1,4 +1,4 @@
-"""Every statement parses to what it says; anything else names its column."""
+"""Statements are parsed and applied; any other text returns the column at fault."""
 
 import msgspec
 import pytest
