--- a/packages/leadford-server/src/leadford_server/pipelines/config/__init__.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/__init__.py
@@ -1,4 +1,4 @@
-"""Follow the configuration: from the store, from relays and from any peer ahead."""
+"""Follow the configuration, from the store or from a peer with a newer version."""
 
 from leadford_server.pipelines.config._follower import ConfigFollower
 from leadford_server.pipelines.config._source import (
--- a/packages/leadford-server/src/leadford_server/pipelines/config/_follower.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_follower.py
@@ -1,9 +1,10 @@
 """Keep the newest readable configuration in force in this process.
 
-Entries that are relays watch the store; the others hear versions from their peers and
-read from whoever is ahead, and poll the store seldom. A configuration that cannot be
-read is reported and leaves the one in force. Configuration of the users' platform is
-followed by `leadford_server.forwarding` (`_store`, `_follow`, `_config`).
+Entries that are relays watch the store. All other processes learn of new versions from
+their peers, read a newer version from the peer that has it, and poll the store at a
+long interval. A configuration that cannot be read is logged, and the previous one stays
+in force. The configuration of the users' platform is followed by
+`leadford_server.forwarding.store` (`_follow`, `_config`).
 """
 
 import asyncio
@@ -35,23 +36,24 @@
 )
 from leadford_server.pipelines.store import StoreClient, StoreErrorKind
 
-# Seconds between readings of the store by a process that is no relay.
-POLL_S = 60.0
-# Seconds between tries until the first configuration is read, doubled up to the most;
-# neither was measured.
-FIRST_WAIT_S = 0.2
-FIRST_WAIT_MAX_S = 5.0
-# Seconds within which a process reads the store itself when its peer could not give the
-# newer version, and after a watch that failed.
-CATCH_UP_WAIT_S = 1.0
+# Interval between reads of the store by a process that is not a relay.
+STORE_POLL_INTERVAL_S = 60.0
+# Pause between reads of the store until the first configuration is in force, doubled
+# before each pause up to the maximum.
+FIRST_READ_RETRY_MIN_S = 0.2
+FIRST_READ_RETRY_MAX_S = 5.0
+# Mean pause of a relay after a failed watch or read of the store, and maximum pause of
+# a process before it reads the store itself because its peer could not send the newer
+# version.
+RETRY_PAUSE_S = 1.0
 
 
 class ConfigFollower:
-    """Move this process forward in configuration, never back.
+    """Apply newer configurations in this process, never older ones.
 
-    A relay waits on the store's watch. Everyone else hears of a newer version from
-    the frames of any peer, fetches it from that peer, and reads the store itself
-    only now and then.
+    A relay watches the store. Any other process learns of a newer version from the
+    frames of a peer, fetches it from that peer, and reads the store itself only at a
+    long interval.
     """
 
     def __init__(
@@ -82,32 +84,32 @@
         return self.tracker_.version
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the store."""
         self._spawn(self._follow_store())
 
     def stop(self) -> None:
-        """Stop following."""
+        """Cancel all tasks of the follower."""
         for task in self.tasks_:
             task.cancel()
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Tell a new peer which version runs here."""
+        """Announce the version in force in this process to a new peer."""
         self.peers_.add(peer)
         peer.announce_version()
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """Forget a peer."""
+        """Remove a peer whose connection ended."""
         self.peers_.discard(peer)
         self.sources_by_peer_.pop(peer, None)
         self.wake_.set()
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
-        """Catch up with a peer that is ahead."""
+        """Fetch the configuration of a peer if its version is newer."""
         if self.tracker_.is_newer(version):
             self._spawn(self._catch_up(peer, version))
 
     def peer_message(self, peer: PeerConnection, message: Message) -> bool:
-        """Take a message about configuration; return whether it was one."""
+        """Handle a message about configuration; return whether it was one."""
         if isinstance(message, HeadRequest):
             if self.tracker_.head_ is not None:
                 answer_head(peer, self.tracker_.head_)
@@ -118,49 +120,49 @@
         if isinstance(message, HeadAnswer | ChunkAnswer):
             source = self.sources_by_peer_.get(peer)
             if source is not None:
-                source.take(message)
+                source.handle_answer(message)
             return True
         return False
 
     async def take_head(self, stored: StoredHead) -> bool:
-        """Put a head that this process itself wrote in force."""
-        return await self._take_stored(stored, StoreSource(store=self.store))
+        """Apply a head that this process itself wrote."""
+        return await self._apply_stored(stored, StoreSource(store=self.store))
 
     async def read_store(self) -> bool:
-        """Read the store once; return whether what it holds is in force."""
+        """Read the store once; return whether its configuration is in force."""
         source = StoreSource(store=self.store)
         read = await source.head()
         if isinstance(read, Failure):
             return False
-        return await self._take_stored(read.unwrap(), source)
+        return await self._apply_stored(read.unwrap(), source)
 
     async def _follow_store(self) -> None:
-        wait_s = FIRST_WAIT_S
+        wait_s = FIRST_READ_RETRY_MIN_S
         while not await self.read_store() and self.tracker_.head_ is None:
-            wait_s = min(FIRST_WAIT_MAX_S, wait_s * 2.0)
+            wait_s = min(FIRST_READ_RETRY_MAX_S, wait_s * 2.0)
             await self._pause(wait_s)
         while True:
             if self.is_relay():
                 await self._watch_once()
                 continue
-            await self._pause(POLL_S)
+            await self._pause(STORE_POLL_INTERVAL_S)
             if not self.is_relay():
                 await self.read_store()
 
     async def _pause(self, wait_s: float) -> None:
-        """Wait with jitter, cut short when a peer is lost or a relay may change."""
+        """Wait with jitter; end early if a peer is lost, as relays may then change."""
         self.wake_.clear()
         try:
             wait_s *= self.random.uniform(0.75, 1.25)
             await asyncio.wait_for(self.wake_.wait(), wait_s)
         except TimeoutError:
-            # Nothing woke it: the caller looks again.
+            # No peer was lost: the caller goes on after the full pause.
             return
 
     async def _watch_once(self) -> None:
         if not self.store.available_:
-            # A store that is silent never answers a watch that begins now, and a read
-            # is given up sooner.
+            # A store that is unavailable never answers a watch that begins now, and a
+            # read times out sooner.
             if not await self.read_store():
                 await self._pause_before_retry()
             return
@@ -175,11 +177,11 @@
             self.object_version_ = max(self.object_version_, value.version)
             self.log.report(Event.CONFIG_UNREADABLE, error=parsed.failure())
             return
-        if not await self._take_stored(parsed.unwrap(), StoreSource(store=self.store)):
+        if not await self._apply_stored(parsed.unwrap(), StoreSource(store=self.store)):
             await self._pause_before_retry()
 
     async def _pause_before_retry(self) -> None:
-        await asyncio.sleep(CATCH_UP_WAIT_S * self.random.uniform(0.5, 1.5))
+        await asyncio.sleep(RETRY_PAUSE_S * self.random.uniform(0.5, 1.5))
 
     async def _catch_up(self, peer: PeerConnection, version: int) -> None:
         async with self.lock_:
@@ -188,30 +190,32 @@
             source = PeerSource(peer=peer)
             self.sources_by_peer_[peer] = source
             read = await source.head()
-            taken = not isinstance(read, Failure)
-            taken = taken and await self._take_locked(read.unwrap(), source)
-        if taken or not self.tracker_.is_newer(version):
+            applied = not isinstance(read, Failure)
+            applied = applied and await self._apply_locked(read.unwrap(), source)
+        if applied or not self.tracker_.is_newer(version):
             return
-        await asyncio.sleep(CATCH_UP_WAIT_S * self.random.random())
+        await asyncio.sleep(RETRY_PAUSE_S * self.random.random())
         if self.tracker_.is_newer(version):
             await self.read_store()
 
-    async def _take_stored(self, stored: StoredHead, source: ConfigSource) -> bool:
-        """Put a head of the store in force; one that cannot be read is asked for again.
+    async def _apply_stored(self, stored: StoredHead, source: ConfigSource) -> bool:
+        """Apply a head from the store; return whether its version is in force.
 
-        Were it counted as heard of, the next watch would wait for a later one.
+        The version of the object is recorded only then. Otherwise the next watch would
+        wait for a later version, and a head whose chunks could not be read would not be
+        requested again.
         """
-        await self._take(stored, source)
+        await self._apply(stored, source)
         if self.tracker_.is_newer(stored.head.version):
             return False
         self.object_version_ = max(self.object_version_, stored.object_version)
         return True
 
-    async def _take(self, stored: StoredHead, source: ConfigSource) -> bool:
+    async def _apply(self, stored: StoredHead, source: ConfigSource) -> bool:
         async with self.lock_:
-            return await self._take_locked(stored, source)
+            return await self._apply_locked(stored, source)
 
-    async def _take_locked(self, stored: StoredHead, source: ConfigSource) -> bool:
+    async def _apply_locked(self, stored: StoredHead, source: ConfigSource) -> bool:
         head = stored.head
         if not self.tracker_.is_newer(head.version):
             return False
--- a/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_source.py
@@ -1,7 +1,7 @@
 """Read heads and chunks from the store or from a peer.
 
-Both kinds of source answer the same two questions; a failure is a text for the log, and
-the follower decides what is tried next.
+Both kinds of source have the same two methods. A failure is a text for the log; the
+follower decides what to try next.
 """
 
 import asyncio
@@ -24,22 +24,22 @@
 # Names of the stored objects.
 HEAD_NAME = "config/head"
 CHUNK_PREFIX = "config/chunks/"
-# Seconds for which a peer is awaited for a head, and for all chunks.
-PEER_ANSWER_S = 1.0
-PEER_CHUNKS_S = 3.0
-# Chunks that are read from the store at once.
-CHUNKS_AT_ONCE = 8
+# Timeouts for a head from a peer, and for its chunks. The second one starts again as
+# long as chunks arrive.
+PEER_HEAD_TIMEOUT_S = 1.0
+PEER_CHUNKS_TIMEOUT_S = 3.0
+MAX_CONCURRENT_CHUNK_READS = 8
 
 
 class StoredHead(msgspec.Struct, frozen=True):
-    """Hold a head and the store's version of the object it was read from."""
+    """Hold a head and the store's version of the object that it was read from."""
 
     head: ConfigHead
     object_version: int
 
 
 class ConfigSource(Protocol):
-    """Give the head and the chunks of a configuration."""
+    """Read the head and the chunks of a configuration."""
 
     async def head(self) -> Result[StoredHead, str]:
         """Return the newest head of the source."""
@@ -49,7 +49,7 @@
 
 
 def head_from_value(value: StoredValue) -> Result[StoredHead, str]:
-    """Return the head in a stored object."""
+    """Decode the head in a stored object."""
     decoded = decode_head(value.data)
     if isinstance(decoded, Failure):
         return Failure(str(decoded.failure()))
@@ -57,7 +57,7 @@
 
 
 class StoreSource:
-    """Read from the platform's store."""
+    """Read a configuration from the platform's store."""
 
     def __init__(self, *, store: StoreClient) -> None:
         self.store = store
@@ -72,8 +72,8 @@
     async def chunks(self, keys: list[str]) -> Result[dict[str, bytes], str]:
         """Read chunk objects, a few at a time."""
         data_by_key: dict[str, bytes] = {}
-        for start in range(0, len(keys), CHUNKS_AT_ONCE):
-            group = keys[start : start + CHUNKS_AT_ONCE]
+        for start in range(0, len(keys), MAX_CONCURRENT_CHUNK_READS):
+            group = keys[start : start + MAX_CONCURRENT_CHUNK_READS]
             reads = [self.store.get(CHUNK_PREFIX + key) for key in group]
             for key, read in zip(group, await asyncio.gather(*reads), strict=True):
                 if isinstance(read, Failure):
@@ -83,21 +83,21 @@
 
 
 class PeerSource:
-    """Read from a peer that runs a newer version."""
+    """Read a configuration from a peer that has a newer version."""
 
     def __init__(self, *, peer: PeerConnection) -> None:
         self.peer = peer
         self.head_answer_: asyncio.Future[HeadAnswer] | None = None
-        self.wanted_: set[str] = set()
+        self.requested_keys_: set[str] = set()
         self.data_by_key_: dict[str, bytes] = {}
-        self.all_here_ = asyncio.Event()
+        self.all_received_ = asyncio.Event()
 
     async def head(self) -> Result[StoredHead, str]:
-        """Ask the peer for its head."""
+        """Request the head from the peer."""
         self.head_answer_ = asyncio.get_running_loop().create_future()
         self.peer.send(HeadRequest(0))
         try:
-            answer = await asyncio.wait_for(self.head_answer_, PEER_ANSWER_S)
+            answer = await asyncio.wait_for(self.head_answer_, PEER_HEAD_TIMEOUT_S)
         except TimeoutError:
             return Failure("peer is silent")
         decoded = decode_head(answer.head)
@@ -106,46 +106,48 @@
         return Success(StoredHead(decoded.unwrap(), 0))
 
     async def chunks(self, keys: list[str]) -> Result[dict[str, bytes], str]:
-        """Ask the peer for chunks."""
+        """Request chunks from the peer and wait for all of them."""
         if not keys:
             return Success({})
-        self.wanted_ = set(keys)
+        self.requested_keys_ = set(keys)
         self.peer.send(ChunkRequest(keys))
-        while not self.all_here_.is_set():
-            here = len(self.data_by_key_)
+        while not self.all_received_.is_set():
+            received_count = len(self.data_by_key_)
             try:
-                await asyncio.wait_for(self.all_here_.wait(), PEER_CHUNKS_S)
+                await asyncio.wait_for(self.all_received_.wait(), PEER_CHUNKS_TIMEOUT_S)
             except TimeoutError:
-                # On a slow link they go on arriving; to ask anew would add to its load.
-                if len(self.data_by_key_) == here:
+                # On a slow link chunks keep arriving; another request would add to the
+                # load of the link.
+                if len(self.data_by_key_) == received_count:
                     return Failure("peer sent only part of the chunks")
         return Success(self.data_by_key_)
 
-    def take(self, message: Message) -> None:
-        """Handle an answer of the peer."""
+    def handle_answer(self, message: Message) -> None:
+        """Handle an answer of the peer; ignore chunks that were not requested."""
         if isinstance(message, HeadAnswer):
             if self.head_answer_ is not None and not self.head_answer_.done():
                 self.head_answer_.set_result(message)
             return
-        if isinstance(message, ChunkAnswer) and message.key in self.wanted_:
+        if isinstance(message, ChunkAnswer) and message.key in self.requested_keys_:
             self.data_by_key_[message.key] = message.chunk
-            if len(self.data_by_key_) == len(self.wanted_):
-                self.all_here_.set()
+            if len(self.data_by_key_) == len(self.requested_keys_):
+                self.all_received_.set()
 
 
 def answer_head(peer: PeerConnection, head: ConfigHead) -> None:
-    """Send a peer the head in force here, without the audit records.
+    """Send a peer the head in force in this process, without the audit records.
 
-    They would be most of the bytes, and whoever shows them reads the store.
+    The audit records would be most of the bytes, and code that shows them reads them
+    from the store.
     """
-    bare = msgspec.structs.replace(head, audit=())
-    peer.send(HeadAnswer(head.version, encode_head(bare)))
+    head_without_audit = msgspec.structs.replace(head, audit=())
+    peer.send(HeadAnswer(head.version, encode_head(head_without_audit)))
 
 
 def answer_chunks(
     peer: PeerConnection, request: ChunkRequest, data_by_key: dict[str, bytes]
 ) -> None:
-    """Send a peer the chunks that are held here."""
+    """Send a peer those of the requested chunks that this process holds."""
     for key in request.keys:
         data = data_by_key.get(key)
         if data is not None:
--- a/packages/leadford-server/src/leadford_server/pipelines/config/tests/test_silent_store.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/tests/test_silent_store.py
@@ -1,14 +1,11 @@
-"""A relay hears of a change within the 12 s in which it is in force everywhere.
-
-Symptom: a change was accepted, and neither relay of a hall had it in force 12 s later;
-after a chunk that could not be read, none had it in force at all.
-Sequence: the store gives no answer for a while, and is changed once it is back; or it
-tells of a new head and fails while the chunks are read.
-Cause: a watch that begins in the silence is never answered, and was given up after
-32 s whatever the bound; the relays of a hall watch in step. A head counted as heard of
-before its chunks were read, so the next watch waited for a later one.
-What settled it: on a simulated clock, a change at the end of a silence of 0.1 to 30 s
-came in force up to 27 s later, and one whose first chunks were not read never.
+"""A relay applies a change within the 12 s in which it must be in force everywhere.
+
+A watch that reaches a silent store is never answered, not even once the store is back.
+If it times out only after 32 s, a change at the end of a silence of 0.1 to 30 s comes
+into force up to 27 s later, and neither relay of a data hall has it within 12 s: the
+relays of a data hall watch at the same times. If the version of a head is recorded
+before its chunks are read and a chunk cannot be read, the next watch waits for a later
+version and no relay ever applies the change.
 """
 
 import asyncio
@@ -32,25 +29,26 @@
 from leadford_server.web import NO_ANSWER
 from leadford_standins.simulated import run_simulated
 
-# Seconds within which a change is in force everywhere.
-BOUND_S = 12.0
+# Time within which a change must be in force everywhere.
+CHANGE_BOUND_S = 12.0
+# When the store falls silent, and for how long.
 SILENT_AT_S = 40.0
 SILENT_FOR_S = [0.1, 1.0, 3.0, 6.0, 8.0, 9.5, 11.0, 15.0, 30.0]
-# Seconds that the store needs for an answer.
+# Time that the store takes for an answer.
 ANSWER_S = 0.02
 DOCUMENT = {"pools": {"engines": {"kind": "engine"}}}
 
 
-class Store:
-    """Stand in for the HTTP client: silent once, and changed at the end of that.
+class SilentStore:
+    """Stand in for the HTTP client of a store that is silent once, then has a change.
 
-    A call that arrives in the silence, or waits when it begins, is never answered. The
-    first `lost_chunks` calls for chunks of the new version fail.
+    A call that arrives in the silence, or is waiting when it begins, is never answered.
+    The first `failing_chunk_reads` calls for chunks of the new version fail.
     """
 
-    def __init__(self, *, silent_for_s, lost_chunks=0):
+    def __init__(self, *, silent_for_s, failing_chunk_reads=0):
         self.silent_until = SILENT_AT_S + silent_for_s
-        self.lost_chunks_left_ = lost_chunks
+        self.failing_chunk_reads_left_ = failing_chunk_reads
         self.stored_ = {}
         self._put(1)
 
@@ -67,20 +65,20 @@
         fields = parse_qs(parts.query)
         began_at = asyncio.get_running_loop().time()
         waits_until = self._waits_until(began_at, fields)
-        if self._is_lost(began_at, waits_until + ANSWER_S):
+        if self._is_unanswered(began_at, waits_until + ANSWER_S):
             await asyncio.sleep(request.request_timeout)
             return HTTPResponse(request, NO_ANSWER)
         await asyncio.sleep(waits_until + ANSWER_S - began_at)
         return self._answer(request, parts.path.removeprefix("/objects/"), fields)
 
-    def _is_lost(self, began_at, ends_at):
-        """Tell whether any of the time of a call lies in the silence."""
+    def _is_unanswered(self, began_at, ends_at):
+        """Return whether a call overlaps with the silence."""
         if self.silent_until <= SILENT_AT_S:
             return False
         return began_at < self.silent_until and ends_at > SILENT_AT_S
 
     def _waits_until(self, began_at, fields):
-        """Return when a watch ends; other calls wait for nothing."""
+        """Return when the wait of a watch ends; other calls do not wait."""
         if "watch" not in fields:
             return began_at
         if int(fields["watch"][0]) < self._version(began_at):
@@ -98,8 +96,8 @@
     def _answer(self, request, name, fields):
         self._version(asyncio.get_running_loop().time())
         version, data = self.stored_[name]
-        if name != "config/head" and version == 2 and self.lost_chunks_left_:
-            self.lost_chunks_left_ -= 1
+        if name != "config/head" and version == 2 and self.failing_chunk_reads_left_:
+            self.failing_chunk_reads_left_ -= 1
             return HTTPResponse(request, 503)
         if "watch" in fields and version <= int(fields["watch"][0]):
             return HTTPResponse(request, 304)
@@ -107,8 +105,8 @@
         return HTTPResponse(request, 200, headers=headers, buffer=BytesIO(data))
 
 
-def late_s(store, *, seed=1):
-    """Return how long after the end of the silence the change was in force."""
+def delay_after_silence_s(store, *, seed=1):
+    """Return how long after the end of the silence the change came into force."""
     log = SimpleNamespace(report=lambda event, **fields: None)
     in_force_at = []
     follower = ConfigFollower(
@@ -133,9 +131,15 @@
 
 @pytest.mark.parametrize("silent_for_s", SILENT_FOR_S)
 def test_a_relay_hears_of_a_change_after_a_silence_in_time(silent_for_s):
-    late = [late_s(Store(silent_for_s=silent_for_s), seed=seed) for seed in range(5)]
-    assert max(late) <= BOUND_S
+    delays_s = [
+        delay_after_silence_s(SilentStore(silent_for_s=silent_for_s), seed=seed)
+        for seed in range(5)
+    ]
+    assert max(delays_s) <= CHANGE_BOUND_S
 
 
 def test_a_change_whose_chunks_were_not_read_at_once_comes_in_force():
-    assert late_s(Store(silent_for_s=0.0, lost_chunks=2)) <= BOUND_S
+    assert (
+        delay_after_silence_s(SilentStore(silent_for_s=0.0, failing_chunk_reads=2))
+        <= CHANGE_BOUND_S
+    )
--- a/packages/leadford-server/src/leadford_server/pipelines/store/_client.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/store/_client.py
@@ -1,8 +1,8 @@
-"""Call the platform's object API and sort its answers.
+"""Call the platform's object API and classify its responses.
 
-The client of leadford's own interface. Every answer is a value or a `StoreError` of a
-kind; a write without an answer may have taken effect (`IN_DOUBT`), and the caller has
-to read.
+This is the client of leadford's own interface. Each call returns a value or a
+`StoreError` with its kind. A write without a response may have taken effect
+(`IN_DOUBT`): the caller has to read the object to find out.
 """
 
 from enum import Enum
@@ -17,18 +17,19 @@
 from leadford_server.metrics import STORE_CALLS_TOTAL
 from leadford_server.web import fetch
 
-# Seconds for a call.
-TIMEOUT_S = 2.0
-# Seconds for which the store holds a watch. With the time of a call, and a pause of
-# 1.5 s, one that is never answered leaves 1.5 s of the 12 s within which a change is in
-# force everywhere; with 30 s it came up to 27 s late (simulated clock).
-WATCH_S = 7.0
+# Timeout of a call, except for the time that a watch waits in the store.
+CALL_TIMEOUT_S = 2.0
+# Time that a watch waits in the store for a change. A watch that is never answered ends
+# after this time and the timeout of a call; with a pause of 1.5 s, this leaves 1.5 s of
+# the 12 s within which a change must be in force everywhere. With 30 s, a change came
+# into force up to 27 s late.
+WATCH_WAIT_S = 7.0
 
 
 class StoreErrorKind(Enum):
-    """Say what is known after a failed call.
+    """State what is known after a failed call.
 
-    IN_DOUBT: a write may have taken effect or may yet do so.
+    IN_DOUBT: a write may have taken effect or may still do so.
     """
 
     NOT_FOUND = "not-found"
@@ -73,23 +74,30 @@
 
     async def get(self, name: str) -> Result[StoredValue, StoreError]:
         """Read an object."""
-        request = HTTPRequest(self._address(name), request_timeout=TIMEOUT_S)
+        request = HTTPRequest(self._address(name), request_timeout=CALL_TIMEOUT_S)
         return self._value(await self._call("read", request))
 
     async def watch(
-        self, name: str, version: int, wait_s: float = WATCH_S
+        self, name: str, version: int, wait_s: float = WATCH_WAIT_S
     ) -> Result[StoredValue, StoreError]:
-        """Wait until an object moves past a version of the store."""
+        """Wait until the store has a newer version of an object, and return it.
+
+        Units: wait_s in seconds.
+        Errors: UNCHANGED when there is none after `wait_s`.
+        """
         url = f"{self._address(name)}?watch={version}&timeout_s={wait_s}"
-        request = HTTPRequest(url, request_timeout=wait_s + TIMEOUT_S)
+        request = HTTPRequest(url, request_timeout=wait_s + CALL_TIMEOUT_S)
         return self._value(await self._call("watch", request))
 
     async def put(
         self, name: str, data: bytes, expected: int | None
     ) -> Result[int, StoreError]:
-        """Write an object if its version is the expected one; 0 means absent.
+        """Write an object if its version is the expected one.
+
+        An expected version of 0 means that the object must not exist; with None, the
+        write has no condition.
 
-        Errors: CONFLICT when it is not; IN_DOUBT when no answer came.
+        Errors: CONFLICT when the version differs; IN_DOUBT when no response arrived.
         """
         headers: dict[str, str] = {}
         if expected == 0:
@@ -101,7 +109,7 @@
             method="PUT",
             body=data,
             headers=headers,
-            request_timeout=TIMEOUT_S,
+            request_timeout=CALL_TIMEOUT_S,
         )
         response = await self._call("write", request)
         if isinstance(response, Failure):
@@ -114,7 +122,7 @@
     async def delete(self, name: str) -> Result[None, StoreError]:
         """Remove an object."""
         request = HTTPRequest(
-            self._address(name), method="DELETE", request_timeout=TIMEOUT_S
+            self._address(name), method="DELETE", request_timeout=CALL_TIMEOUT_S
         )
         response = await self._call("write", request)
         return response.map(lambda _: None)
@@ -131,12 +139,12 @@
             STORE_CALLS_TOTAL.labels(kind=kind, end="ok").inc()
             return Success(response)
         self._record_available(response.code in _KIND_BY_STATUS)
-        fault = _KIND_BY_STATUS.get(response.code, StoreErrorKind.UNAVAILABLE)
-        STORE_CALLS_TOTAL.labels(kind=kind, end=fault.value).inc()
-        return Failure(StoreError(fault, str(response.error or response.code)))
+        error_kind = _KIND_BY_STATUS.get(response.code, StoreErrorKind.UNAVAILABLE)
+        STORE_CALLS_TOTAL.labels(kind=kind, end=error_kind.value).inc()
+        return Failure(StoreError(error_kind, str(response.error or response.code)))
 
     def _record_available(self, available: bool) -> None:
-        """Report when the store falls silent and when it answers again."""
+        """Log when the store becomes unavailable and when it is available again."""
         if available == self.available_:
             return
         self.available_ = available
