--- a/packages/leadford-server/src/leadford_server/pipelines/agent/__init__.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside an endpoint: its queue, its results, its orders."""
+"""Run the agent of an endpoint, which holds its queue, results and model orders."""
 
 from leadford_server.pipelines.agent._adapters import (
     AdapterOutcome,
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
@@ -1,9 +1,9 @@
 """Call each kind of endpoint through its published protocol.
 
-Used by `AttemptRunner`; the pool's kind says which adapter. An outcome says how the
-call ended and what it cost, never whether it is tried again. An answer that belongs to
-another request is not used (`crossed`). A stream of an engine that breaks is resumed at
-the same engine.
+Used by `AttemptRunner`; the kind of the pool determines the adapter. An outcome states
+how the call ended and what it cost, not whether it is retried. An answer that belongs
+to another attempt is not used (`crossed`). When the stream of an engine breaks, it is
+resumed at the same engine.
 """
 
 import asyncio
@@ -18,19 +18,19 @@
 from leadford.protocol import DoneStatus, Submit
 from leadford_server.web import NO_ANSWER, fetch, was_closed
 
-# Seconds for a connection to the endpoint beside the agent.
-CONNECT_S = 1.0
-# Times that a broken stream is resumed, and seconds before each.
-RESUMES_MAX = 2
-RESUME_WAIT_S = 0.05
-# Bytes of a result that are accepted.
-RESULT_BYTES_MAX = 4 * 1024 * 1024
+# Timeout of a connection to the endpoint beside the agent, and of a cancellation.
+CONNECT_TIMEOUT_S = 1.0
+# Maximum number of times that a broken stream is resumed, and the pause before each.
+MAX_RESUMES = 2
+RESUME_PAUSE_S = 0.05
+# Maximum size of a response of a JSON endpoint.
+MAX_RESULT_BYTES = 4 * 1024 * 1024
 
 TokenSink = Callable[[list[str], str], None]
 
 
 class AdapterOutcome(msgspec.Struct, frozen=True):
-    """Say how a call to an endpoint ended.
+    """Describe how a call to an endpoint ended.
 
     Units: accelerator_ms is endpoint time, 0 when the endpoint does not report it.
     """
@@ -58,17 +58,20 @@
     async def run(
         self, submit: Submit, timeout_s: float, sink: TokenSink
     ) -> AdapterOutcome:
-        """Run one attempt, handing tokens to the sink."""
+        """Run one attempt and pass its tokens to the sink.
+
+        Units: timeout_s in seconds.
+        """
 
     async def cancel(self, submit: Submit) -> None:
-        """Stop an attempt, if the endpoint can."""
+        """Stop an attempt, if the endpoint supports it."""
 
 
 endpoint_adapters: Registry[EndpointAdapter] = Registry("endpoint adapter")
 
 
 def attempt_key(request_id: str, stage: str, attempt: int) -> str:
-    """Return the name of an attempt."""
+    """Return the key that identifies an attempt."""
     return f"{request_id}/{stage}/{attempt}"
 
 
@@ -98,13 +101,13 @@
     async def run(
         self, submit: Submit, timeout_s: float, sink: TokenSink
     ) -> AdapterOutcome:
-        """Post the call and check that the answer belongs to it."""
+        """Post the attempt and check that the answer belongs to it."""
         request = HTTPRequest(
             self.url + self.path,
             method="POST",
             body=self._body(submit),
             headers={"Content-Type": "application/json"},
-            connect_timeout=CONNECT_S,
+            connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=timeout_s,
         )
         response = await fetch(self.http, request)
@@ -116,7 +119,7 @@
             )
         if response.code != 200:
             return AdapterOutcome(DoneStatus.FAILED, error=f"status {response.code}")
-        if len(response.body) > RESULT_BYTES_MAX:
+        if len(response.body) > MAX_RESULT_BYTES:
             return AdapterOutcome(DoneStatus.FAILED, error="answer is too large")
         try:
             answer = msgspec.json.decode(response.body, type=_JsonAnswer)
@@ -134,17 +137,17 @@
             "stage": submit.stage,
             "attempt": submit.attempt,
         }
-        # The caller's body is JSON already and goes out as it came in.
-        opening = json.dumps(head).encode()[:-1]
-        parts = (opening, b',"input":', submit.body, b',"previous":', submit.previous)
+        # The caller's body is JSON already and is sent unchanged.
+        head_json = json.dumps(head).encode()[:-1]
+        parts = (head_json, b',"input":', submit.body, b',"previous":', submit.previous)
         return b"".join((*parts, b"}"))
 
     async def cancel(self, submit: Submit) -> None:
-        """Do nothing: a plain call cannot be stopped."""
+        """Do nothing: a JSON endpoint cannot stop a call."""
 
 
 class _PromptBody(msgspec.Struct):
-    """Hold what a generation takes from the caller's body."""
+    """Hold the fields of the caller's body that a generation uses."""
 
     prompt: str = ""
     system: str = ""
@@ -152,12 +155,12 @@
 
 
 class _SseReader:
-    """Gather the events of a token stream from chunks of bytes."""
+    """Parse the events of a token stream from chunks of bytes."""
 
     def __init__(self, *, key: str, sink: TokenSink) -> None:
         self.key = key
         self.sink = sink
-        self.rest_ = b""
+        self.unparsed_bytes_ = b""
         self.received_ = 0
         self.usage_: dict[str, object] = {}
         self.finish_reason_ = ""
@@ -167,19 +170,19 @@
         self.endpoint_ended_ = False
 
     def feed(self, chunk: bytes) -> None:
-        """Handle bytes as they come."""
-        *events, self.rest_ = (self.rest_ + chunk).split(b"\n\n")
+        """Parse the next bytes and pass new tokens to the sink."""
+        *events, self.unparsed_bytes_ = (self.unparsed_bytes_ + chunk).split(b"\n\n")
         texts: list[str] = []
         for event in events:
             data = event.removeprefix(b"data: ")
             if data == b"[DONE]" or self.error_:
                 continue
-            self._take(data, texts)
+            self._read_event(data, texts)
         if texts:
             self.received_ += len(texts)
             self.sink(texts, self.model_version_)
 
-    def _take(self, data: bytes, texts: list[str]) -> None:
+    def _read_event(self, data: bytes, texts: list[str]) -> None:
         try:
             chunk = msgspec.json.decode(data)
             choice = chunk["choices"][0]
@@ -216,7 +219,7 @@
     async def run(
         self, submit: Submit, timeout_s: float, sink: TokenSink
     ) -> AdapterOutcome:
-        """Generate; a broken stream resumes at the engine where it stopped."""
+        """Generate tokens; resume a broken stream at the engine where it stopped."""
         key = attempt_key(submit.request_id, submit.stage, submit.attempt)
         reader = _SseReader(key=key, sink=sink)
         prompt = self._prompt(submit)
@@ -224,11 +227,11 @@
             return AdapterOutcome(DoneStatus.FAILED, error="body has no prompt")
         request = self._first_request(submit, prompt)
         error = await self._stream(request, reader, timeout_s)
-        for _ in range(RESUMES_MAX):
+        for _ in range(MAX_RESUMES):
             if reader.finish_reason_ or reader.error_ or not reader.received_:
                 break
-            reader.rest_ = b""
-            await asyncio.sleep(RESUME_WAIT_S)
+            reader.unparsed_bytes_ = b""
+            await asyncio.sleep(RESUME_PAUSE_S)
             url = f"{self.url}/v1/completions/{key}?after={reader.received_}"
             error = await self._stream(HTTPRequest(url), reader, timeout_s)
         return self._outcome(reader, error)
@@ -265,7 +268,7 @@
     async def _stream(
         self, request: HTTPRequest, reader: _SseReader, timeout_s: float
     ) -> str:
-        request.connect_timeout = CONNECT_S
+        request.connect_timeout = CONNECT_TIMEOUT_S
         request.request_timeout = timeout_s
         request.streaming_callback = reader.feed
         response = await fetch(self.http, request)
@@ -304,5 +307,5 @@
         """Ask the engine to stop the generation."""
         key = attempt_key(submit.request_id, submit.stage, submit.attempt)
         url = f"{self.url}/v1/completions/{key}"
-        request = HTTPRequest(url, method="DELETE", request_timeout=CONNECT_S)
+        request = HTTPRequest(url, method="DELETE", request_timeout=CONNECT_TIMEOUT_S)
         await fetch(self.http, request)
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
@@ -1,8 +1,8 @@
-"""Feed kept tokens and ends to the entries that wait for them.
+"""Send stored tokens and ends of attempts to the entries attached to them.
 
-Called when tokens or ends came, and when an entry allows more. The first token of a
-stream and each end leave at once; other tokens are gathered for a tick, so that one
-message serves many streams.
+Called when tokens or ends arrive, and when an entry grants more credit. The first token
+of a stream and each end are sent at once. Other tokens are batched over an interval, so
+that one message serves many streams.
 """
 
 import asyncio
@@ -12,12 +12,12 @@
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.agent._adapters import attempt_key
 
-# Seconds for which tokens are gathered.
-TICK_S = 0.02
+# Time over which tokens are batched.
+FLUSH_INTERVAL_S = 0.02
 
 
 class TokenFeeder:
-    """Gather new tokens over a tick and send each entry one message."""
+    """Batch new tokens over an interval and send each entry one message."""
 
     def __init__(
         self, *, results: ResultStore, peers_by_id: dict[str, PeerConnection]
@@ -25,10 +25,10 @@
         self.results = results
         self.peers_by_id = peers_by_id
         self.dirty_keys_: dict[str, None] = {}
-        self.tick_: asyncio.TimerHandle | None = None
+        self.flush_timer_: asyncio.TimerHandle | None = None
 
     def on_tokens(self, kept: KeptResult, *, first: bool) -> None:
-        """Send new tokens: the first of a stream at once, the others with the tick."""
+        """Send the first tokens of a stream at once, others with the next batch."""
         self.dirty_keys_[kept.key] = None
         if first:
             self.flush()
@@ -36,12 +36,12 @@
         self._schedule()
 
     def on_end(self, kept: KeptResult) -> None:
-        """Send an end at once."""
+        """Send the end of an attempt at once."""
         self.dirty_keys_[kept.key] = None
         self.flush()
 
     def credit(self, peer: PeerConnection, message: Credit) -> None:
-        """Let an entry have more tokens of a stream."""
+        """Grant an entry more tokens of a stream."""
         key = attempt_key(message.request_id, message.stage, message.attempt)
         kept = self.results.get(key)
         if kept is None:
@@ -51,7 +51,7 @@
         self._schedule()
 
     def attach(self, peer: PeerConnection, message: Attach) -> None:
-        """Feed an entry that takes an attempt over, or say that it is not held."""
+        """Attach an entry that takes over an attempt, or reply that it is not held."""
         key = attempt_key(message.request_id, message.stage, message.attempt)
         kept = self.results.get(key)
         held = kept is not None and kept.workspace == message.workspace
@@ -64,7 +64,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether every attached entry has been sent everything."""
+        """Return whether the end of each attempt was sent to all attached entries."""
         for kept in self.results.results_by_key_.values():
             for cursor in kept.cursors_by_peer_.values():
                 if not cursor.done_sent_:
@@ -72,14 +72,16 @@
         return True
 
     def _schedule(self) -> None:
-        if self.tick_ is None:
-            self.tick_ = asyncio.get_running_loop().call_later(TICK_S, self.flush)
+        if self.flush_timer_ is None:
+            self.flush_timer_ = asyncio.get_running_loop().call_later(
+                FLUSH_INTERVAL_S, self.flush
+            )
 
     def flush(self) -> None:
-        """Send what waits."""
-        if self.tick_ is not None:
-            self.tick_.cancel()
-            self.tick_ = None
+        """Send all batched tokens and ends."""
+        if self.flush_timer_ is not None:
+            self.flush_timer_.cancel()
+            self.flush_timer_ = None
         keys = list(self.dirty_keys_)
         self.dirty_keys_.clear()
         parts_by_peer: dict[str, list[TokenPart]] = {}
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
@@ -1,8 +1,8 @@
-"""Keep the engine's models as the newest plan says.
+"""Load and unload models of the engine according to the newest plan.
 
 Started by `AgentProcess` for an engine. `OrderSequence`
-(`leadford.pipelines.placement`) decides which order comes next; here it is sent, and
-the engine asked what it holds.
+(`leadford.pipelines.placement`) decides which order comes next; this module sends it
+and reads from the engine which models it holds.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
 from leadford_server.logs import EventLog
 from leadford_server.web import NO_ANSWER, fetch
 
-# Seconds that an order and a reading may take, and between looks while an order is in
-# doubt.
+# Timeouts of an order and of a read of the held models, and the interval between checks
+# while the engine does not hold what the plan says.
 ORDER_TIMEOUT_S = 30.0
 READ_TIMEOUT_S = 2.0
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 
 class _EngineState(msgspec.Struct):
-    """Hold what an engine says of itself."""
+    """Hold the versions of the models that an engine reports, by model."""
 
     models: dict[str, str] = {}
 
 
 class ModelLoader:
-    """Give the engine orders, one at a time, and know what it holds."""
+    """Send orders to the engine, one at a time, and track the models it holds."""
 
     def __init__(
         self,
@@ -49,61 +49,67 @@
         self.sequence = sequence
         self.log = log
         self.on_change = on_change
-        self.holds_: frozenset[ModelCopy] = frozenset()
+        self.held_copies_: frozenset[ModelCopy] = frozenset()
         self.task_: asyncio.Task[None] | None = None
         self.wake_ = asyncio.Event()
 
     def start(self) -> None:
-        """Begin to follow plans."""
+        """Start to carry out plans."""
         self.task_ = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Stop giving orders."""
+        """Stop sending orders."""
         self.task_.cancel()
 
-    def take(self, order: PlanOrder) -> None:
-        """Take a plan in; an older one than is obeyed changes nothing."""
+    def accept_plan(self, order: PlanOrder) -> None:
+        """Accept a plan, unless it is older than the current one."""
         wanted = frozenset(ModelCopy(held.model, held.version) for held in order.models)
         if self.sequence.offer(order.fence, wanted):
             self.wake_.set()
 
     def held(self) -> list[HeldModel]:
-        """Return what the engine holds, for load reports."""
-        return [HeldModel(copy.model, copy.version) for copy in sorted(self.holds_)]
+        """Return the models that the engine holds, for load reports."""
+        return [
+            HeldModel(copy.model, copy.version) for copy in sorted(self.held_copies_)
+        ]
 
     async def _run(self) -> None:
-        await self._read()
+        await self._read_held_copies()
         while True:
-            step = self.sequence.next_step(self.holds_, boot_time())
+            step = self.sequence.next_step(self.held_copies_, boot_time())
             if step is not None:
-                await self._give(step)
-                await self._read()
+                await self._send_order(step)
+                await self._read_held_copies()
                 continue
             await self._pause()
 
     async def _pause(self) -> None:
-        """Wait for a plan; look again soon while an order is in doubt."""
+        """Wait for a plan, or for an interval if the current plan is not met."""
         self.wake_.clear()
-        doubtful = self.sequence.wanted_ != self.holds_ and self.sequence.fence_
+        has_unmet_plan = (
+            self.sequence.wanted_ != self.held_copies_ and self.sequence.fence_
+        )
         try:
-            await asyncio.wait_for(self.wake_.wait(), POLL_S if doubtful else None)
+            await asyncio.wait_for(
+                self.wake_.wait(), POLL_INTERVAL_S if has_unmet_plan else None
+            )
         except TimeoutError:
-            # No plan came: the caller looks again at what the engine holds.
+            # No plan arrived: the caller checks again which order comes next.
             return
 
-    async def _read(self) -> None:
+    async def _read_held_copies(self) -> None:
         request = HTTPRequest(f"{self.url}/orders", request_timeout=READ_TIMEOUT_S)
         response = await fetch(self.http, request)
         if response.code != 200:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             return
         state = msgspec.json.decode(response.body, type=_EngineState)
-        holds = frozenset(ModelCopy(*pair) for pair in state.models.items())
-        if holds != self.holds_:
-            self.holds_ = holds
+        copies = frozenset(ModelCopy(*pair) for pair in state.models.items())
+        if copies != self.held_copies_:
+            self.held_copies_ = copies
             self.on_change()
 
-    async def _give(self, step: OrderStep) -> None:
+    async def _send_order(self, step: OrderStep) -> None:
         order = {
             "fence": step.fence,
             "action": step.kind.value,
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
@@ -1,7 +1,8 @@
-"""Run the agent: its sockets, its configuration and its planned stop.
+"""Run the agent process: its sockets, its configuration and its planned stop.
 
-One beside each endpoint. `AgentService` begins with the first configuration that names
-the endpoint; while none does, the agent drains.
+One agent runs beside each endpoint. `AgentService` is created with the first
+configuration that names the endpoint; while a later one does not name it, the agent
+drains.
 """
 
 import asyncio
@@ -26,23 +27,23 @@
 from leadford_server.pipelines.store import StoreClient
 from leadford_server.settings import AgentSettings, SocketAddress
 
-# Seconds between looks at what still runs, and most seconds for which it is awaited;
-# neither was measured.
+# Interval between checks for attempts that still run while the agent drains, and the
+# maximum time that it waits for them.
 DRAIN_POLL_S = 0.02
 DRAIN_MAX_S = 120.0
-# Calls at once to the endpoint and the store.
-HTTP_CLIENTS_MAX = 512
+# Maximum number of concurrent calls to the endpoint and the store.
+MAX_HTTP_CLIENTS = 512
 
 
 class _HealthHandler(web.RequestHandler):
-    """Say that the process lives."""
+    """Respond that the process is alive."""
 
     def get(self) -> None:
         self.finish("ok\n")
 
 
 class _ReadyHandler(web.RequestHandler):
-    """Say whether the agent takes work."""
+    """Respond whether the agent accepts attempts."""
 
     def initialize(self, process: "AgentProcess") -> None:
         self.process = process
@@ -55,7 +56,7 @@
 
 
 class AgentProcess:
-    """Hold everything that one agent process runs."""
+    """Own all parts of one agent process."""
 
     def __init__(
         self, *, settings: AgentSettings, rng: random.Random | None = None
@@ -64,7 +65,7 @@
         self.rng = rng if rng is not None else random.Random()
         self.log_ = EventLog(process_id=settings.endpoint_id)
         self.http_ = CurlAsyncHTTPClient(
-            force_instance=True, max_clients=HTTP_CLIENTS_MAX
+            force_instance=True, max_clients=MAX_HTTP_CLIENTS
         )
         self.store_ = StoreClient(url=settings.store, http=self.http_, log=self.log_)
         self.service_: AgentService | None = None
@@ -84,7 +85,7 @@
             ),
             handler=self,
             log=self.log_,
-            # Nonces must not be guessable.
+            # Nonces must be unpredictable.
             random=rng if rng is not None else random.SystemRandom(),
             config_version=lambda: self.follower_.version,
             is_draining=lambda: self.stopping_,
@@ -92,9 +93,9 @@
         self.web_: httpserver.HTTPServer | None = None
 
     async def start(self) -> SocketAddress:
-        """Listen and begin to follow the configuration."""
+        """Start to listen and to follow the configuration; return the peer address."""
         address = await self.server_.start(self.settings.peer)
-        pages = web.Application(
+        application = web.Application(
             [
                 (r"/healthz", _HealthHandler),
                 (r"/readyz", _ReadyHandler, {"process": self}),
@@ -102,7 +103,7 @@
             ],
             log_function=lambda handler: None,
         )
-        self.web_ = httpserver.HTTPServer(pages)
+        self.web_ = httpserver.HTTPServer(application)
         self.web_.listen(self.settings.metrics.port, self.settings.metrics.host)
         self.follower_.start()
         self.log_.report(Event.PROCESS_STARTED, role="agent", peer=str(address))
@@ -130,15 +131,15 @@
             )
             for peer in self.peers_:
                 self.service_.peer_connected(peer)
-            self._keep_models(pool)
+            self._start_model_loader(pool)
         self.service_.apply_config(config, pool)
         if endpoint.draining or self.stopping_:
             self.service_.drain()
         elif self.service_.draining_:
             self.service_.restore()
 
-    def _keep_models(self, pool: PoolConfig) -> None:
-        """Follow plans, where the endpoint is an engine."""
+    def _start_model_loader(self, pool: PoolConfig) -> None:
+        """Start to carry out plans if the endpoint is an engine."""
         if pool.kind is not PoolKind.ENGINE:
             return
         self.model_loader_ = ModelLoader(
@@ -152,30 +153,30 @@
         self.model_loader_.start()
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Register a connection of an entry."""
+        """Register the connection of an entry."""
         self.peers_.add(peer)
         self.follower_.peer_connected(peer)
         if self.service_ is not None:
             self.service_.peer_connected(peer)
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """Drop a connection that ended."""
+        """Remove a connection that ended."""
         self.peers_.discard(peer)
         self.follower_.peer_lost(peer)
         if self.service_ is not None:
             self.service_.peer_lost(peer)
 
     def peer_version(self, peer: PeerConnection, version: int) -> None:
-        """Record the configuration version of a peer."""
+        """Fetch the configuration of a peer if its version is newer."""
         self.follower_.peer_version(peer, version)
 
     def peer_message(self, peer: PeerConnection, message: Message) -> None:
-        """Handle a message."""
+        """Handle a message of an entry; refuse attempts before the service exists."""
         if self.follower_.peer_message(peer, message):
             return
         if isinstance(message, PlanOrder):
             if self.model_loader_ is not None:
-                self.model_loader_.take(message)
+                self.model_loader_.accept_plan(message)
             return
         if self.service_ is not None:
             self.service_.peer_message(peer, message)
@@ -192,13 +193,13 @@
             )
 
     async def drain(self) -> None:
-        """Announce the stop, let what runs end, and close."""
+        """Announce the stop, wait for accepted attempts to end, and close."""
         self.stopping_ = True
         self.log_.report(Event.PROCESS_DRAINING)
         if self.service_ is not None:
             self.service_.drain()
-            limit = boot_time() + DRAIN_MAX_S
-            while not self.service_.is_idle and boot_time() < limit:
+            deadline_at = boot_time() + DRAIN_MAX_S
+            while not self.service_.is_idle and boot_time() < deadline_at:
                 await asyncio.sleep(DRAIN_POLL_S)
         for peer in list(self.peers_):
             await peer.close()
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_reports.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_reports.py
@@ -1,7 +1,8 @@
-"""Say to the entries how loaded an endpoint is, and why it refuses an attempt.
+"""Report to the entries the load of an endpoint, and why it refuses an attempt.
 
-Load rides on every end and refusal; it is also sent by itself when it changed much. The
-entries choose endpoints by it (`leadford.pipelines.routing`).
+Each end and each refusal includes the load. It is also sent separately when it changed
+by more than a threshold. The entries choose endpoints by it
+(`leadford.pipelines.routing`).
 """
 
 from collections.abc import Callable
@@ -13,21 +14,22 @@
 from leadford_server.pipelines.agent._models import ModelLoader
 from leadford_server.pipelines.agent._state import EndpointState
 
-# Seconds between load reports that ride on no answer.
-REPORT_S = 0.2
-# Reports a second to all entries together, so that control stays small in a large
-# fleet.
-REPORTS_PER_S_MAX = 15.0
-# What counts as much changed: more attempts than either, as a number and as a part of
-# the load last reported, or tokens slower by a factor and a millisecond.
-CHANGED_ATTEMPTS = 2
-CHANGED_LOAD_DIVISOR = 4
-SLOWER_TIMES = 1.5
-SLOWER_MS = 1.0
+# Minimum interval between load reports that are sent separately.
+MIN_REPORT_INTERVAL_S = 0.2
+# Maximum rate of these reports to all entries together, which limits control traffic in
+# a large fleet.
+MAX_REPORTS_PER_S = 15.0
+# A load report is due when the number of attempts changed by more than both thresholds,
+# of which the second is the load last reported divided by the divisor, or when the time
+# of a token exceeds the one last reported times the factor plus the margin.
+CHANGE_THRESHOLD_ATTEMPTS = 2
+CHANGE_THRESHOLD_LOAD_DIVISOR = 4
+SLOWDOWN_FACTOR = 1.5
+SLOWDOWN_MARGIN_MS = 1.0
 
 
 class EndpointReports:
-    """Build and send what entries are told of one endpoint.
+    """Build and send the reports and refusals of one endpoint to the entries.
 
     Units: clock and `reported_at_` in seconds, `reported_token_ms_` in milliseconds.
     """
@@ -44,7 +46,7 @@
         self.reported_token_ms_ = 0.0
 
     def queue_rows(self) -> list[list]:
-        """Return what waits and runs here, and why what waits does."""
+        """Return a row for each waiting or running attempt, with why it waits."""
         now = self.clock()
         rows: list[list] = []
         for attempt in self.state.attempts_by_key_.values():
@@ -69,8 +71,8 @@
         slots = self.state.pool_.concurrency
         if self.state.running_ >= slots:
             return f"all {slots} slots run"
-        kept = self.state.headroom_.reserved(priority, self.clock())
-        return f"{kept} slots are kept for more urgent work"
+        reserved_slots = self.state.headroom_.reserved(priority, self.clock())
+        return f"{reserved_slots} slots are kept for more urgent work"
 
     def load(self) -> Load:
         """Return the load of the endpoint."""
@@ -79,7 +81,7 @@
             queued=len(self.state.queue_),
             running=self.state.running_,
             tokens_in_flight=self.state.tokens_in_flight_,
-            # Before the first observation the entries use what is configured.
+            # With 0.0, before the first observation, entries use the configured time.
             service_ms=round(estimate.overall_.value_, 2)
             if estimate.overall_.count_
             else 0.0,
@@ -93,7 +95,10 @@
         )
 
     def _token_ms(self) -> float:
-        """Return the time a token takes, seen also from streams that still run."""
+        """Return the time of a token; attempts that still run may raise it.
+
+        Units: milliseconds.
+        """
         estimate = self.state.admission_.estimate_.per_token_
         now = self.clock()
         total_ms = 0.0
@@ -116,7 +121,7 @@
         reason: RefusalReason,
         begun: bool = False,
     ) -> None:
-        """Refuse an attempt, and count that also if the entry is gone."""
+        """Refuse an attempt; count the refusal even if the entry is disconnected."""
         ATTEMPTS_TOTAL.labels(stage=submit.stage, end=reason.value).inc()
         if peer is None:
             return
@@ -136,16 +141,23 @@
         )
 
     def send_load(self, force: bool = False) -> None:
-        """Report a load that changed much without an answer to ride on."""
+        """Send the load to all entries if it changed by enough, or if forced."""
         now = self.clock()
-        interval_s = max(REPORT_S, len(self.state.peers_by_id_) / REPORTS_PER_S_MAX)
+        interval_s = max(
+            MIN_REPORT_INTERVAL_S, len(self.state.peers_by_id_) / MAX_REPORTS_PER_S
+        )
         if not force and now - self.reported_at_ < interval_s:
             return
         load = len(self.state.queue_) + self.state.running_
         token_ms = self._token_ms()
-        least = max(CHANGED_ATTEMPTS, self.reported_load_ // CHANGED_LOAD_DIVISOR)
-        changed = abs(load - self.reported_load_) > least
-        slower = token_ms > SLOWER_TIMES * self.reported_token_ms_ + SLOWER_MS
+        change_threshold = max(
+            CHANGE_THRESHOLD_ATTEMPTS,
+            self.reported_load_ // CHANGE_THRESHOLD_LOAD_DIVISOR,
+        )
+        changed = abs(load - self.reported_load_) > change_threshold
+        slower = (
+            token_ms > SLOWDOWN_FACTOR * self.reported_token_ms_ + SLOWDOWN_MARGIN_MS
+        )
         if not force and not changed and not slower:
             return
         self.reported_at_ = now
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_runner.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_runner.py
@@ -1,9 +1,9 @@
 """Start the attempts that wait at an endpoint, and end them.
 
-Called by `AgentService` whenever an attempt was queued or a limit changed, and by
-itself when an attempt ends or a kept slot may be free again. What may start is decided
-by `leadford.pipelines` (queue, admission, headroom); tokens and ends go to the entries
-through the `TokenFeeder`.
+`AgentService` calls the runner when an attempt was queued or a limit changed. The
+runner also dispatches when an attempt ends or a reserved slot may be free again.
+`leadford.pipelines` decides what may start (queue, admission, headroom). Tokens and
+ends are sent to the entries by the `TokenFeeder`.
 """
 
 import asyncio
@@ -29,17 +29,17 @@
 from leadford_server.pipelines.agent._reports import EndpointReports
 from leadford_server.pipelines.agent._state import AcceptedAttempt, EndpointState
 
-# Seconds that an endpoint may take beyond the deadline of its attempt, in which the
-# answer of one that is just late still comes.
+# Time that a call may take beyond the deadline of its attempt, so that an answer that
+# is only slightly late still arrives.
 TIMEOUT_GRACE_S = 0.25
-# Seconds for which a stage with an effect is awaited at least.
-EFFECT_TIMEOUT_S = 30.0
-# Seconds after which a slot kept for more urgent work is looked at again.
-HEADROOM_POLL_S = 0.03
+# Minimum timeout of a stage with a side effect.
+MIN_EFFECT_TIMEOUT_S = 30.0
+# Interval between checks whether a slot is still reserved for more urgent attempts.
+HEADROOM_POLL_INTERVAL_S = 0.03
 
 
 class AttemptRunner:
-    """Run the attempts of one endpoint, as many at once as its slots allow."""
+    """Run the attempts of one endpoint, at most one for each slot at a time."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self.dispatch_timer_: asyncio.TimerHandle | None = None
 
     def dispatch(self) -> None:
-        """Start what may start; refuse what waited too long."""
+        """Start attempts while slots allow it; refuse those that waited too long."""
         while self._may_start():
             now = self.clock()
             item = self.state.queue_.pop(now)
@@ -87,7 +87,10 @@
         self.reports.send_load()
 
     def _may_start(self) -> bool:
-        """Tell whether the next attempt may take a slot; look again soon if not."""
+        """Return whether the next attempt may start; check again soon if it may not.
+
+        Only a slot that is reserved for more urgent attempts is checked again.
+        """
         if len(self.state.queue_) == 0:
             return False
         if self.state.running_ >= self.state.pool_.concurrency:
@@ -103,7 +106,7 @@
         if not admitted and self.dispatch_timer_ is None:
             loop = asyncio.get_running_loop()
             self.dispatch_timer_ = loop.call_later(
-                HEADROOM_POLL_S, self._dispatch_again
+                HEADROOM_POLL_INTERVAL_S, self._dispatch_again
             )
         return admitted
 
@@ -126,9 +129,9 @@
         attempt.started_at_ = started_at
         timeout_s = attempt.item.deadline_at - started_at + TIMEOUT_GRACE_S
         if not submit.repeatable:
-            # The effect may come late; its result is worth waiting for.
-            timeout_s = max(timeout_s, EFFECT_TIMEOUT_S)
-        sink = self._sink(attempt)
+            # The side effect may happen after the deadline; its result is still needed.
+            timeout_s = max(timeout_s, MIN_EFFECT_TIMEOUT_S)
+        sink = self._make_sink(attempt)
         outcome = await self.adapter.run(submit, timeout_s, sink)
         ended_at = self.clock()
         service_ms = (ended_at - started_at) * 1000.0
@@ -146,8 +149,8 @@
             self.state.admission_.estimate_.record_partial(service_ms, tokens)
         self._finish(attempt, outcome, service_ms, queue_ms)
 
-    def _sink(self, attempt: AcceptedAttempt) -> TokenSink:
-        def take(texts: list[str], model_version: str) -> None:
+    def _make_sink(self, attempt: AcceptedAttempt) -> TokenSink:
+        def record_tokens(texts: list[str], model_version: str) -> None:
             attempt.generated_texts_.extend(texts)
             if not attempt.submit.stream:
                 return
@@ -156,7 +159,7 @@
             self.feeder.on_tokens(attempt.kept, first=first)
             self.reports.send_load()
 
-        return take
+        return record_tokens
 
     def _finish(
         self,
@@ -206,7 +209,7 @@
         if self.state.queue_.remove(key) is not None:
             self._drop_queued(attempt, RefusalReason.CANCELLED)
             return
-        # What may not be repeated runs to its end, so that its result is known.
+        # A non-repeatable attempt runs to its end, so that its result is known.
         if attempt.cancelled_ or not attempt.submit.repeatable:
             return
         attempt.cancelled_ = True
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_service.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_service.py
@@ -1,9 +1,9 @@
-"""Serve entries at one endpoint: queue, run, feed and keep attempts.
+"""Serve the entries at one endpoint: accept attempts, run them and send the results.
 
-Called by `AgentProcess` with what entries send and with each configuration. It answers
-what can be answered at once: whether an attempt is accepted, a cancellation, a
-take-over. `AttemptRunner` starts and ends what was accepted, `TokenFeeder` sends tokens
-and ends, `EndpointReports` the load and the refusals; they share one `EndpointState`.
+`AgentProcess` passes on the messages of entries and each configuration. The service
+decides whether an attempt is accepted and dispatches all other messages.
+`AttemptRunner` starts and ends accepted attempts, `TokenFeeder` sends tokens and ends,
+and `EndpointReports` sends the load and refusals; they share one `EndpointState`.
 """
 
 from collections.abc import Callable
@@ -71,19 +71,19 @@
         )
 
     def apply_config(self, config: FleetConfig, pool: PoolConfig) -> None:
-        """Apply a newer configuration; what is queued stays queued."""
+        """Apply a newer configuration; queued attempts stay queued."""
         self.state_.apply_config(config, pool)
         self.runner_.dispatch()
 
     def peer_connected(self, peer: PeerConnection) -> None:
-        """Register a connection of an entry."""
+        """Register the connection of an entry and send it the load."""
         self.state_.peers_by_id_[peer.info.peer_id] = peer
         peer.send(self.reports_.load())
         if self.draining_:
             peer.send(Draining("agent"))
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """Stop feeding an entry; what it started runs on for a take-over."""
+        """Stop sending to an entry; its attempts go on, and another may take over."""
         peer_id = peer.info.peer_id
         if self.state_.peers_by_id_.get(peer_id) is peer:
             del self.state_.peers_by_id_[peer_id]
@@ -109,7 +109,7 @@
                 pass
 
     def drain(self) -> None:
-        """Take no new work and say so to every entry."""
+        """Accept no new attempts and announce that to every entry."""
         if self.draining_:
             return
         self.draining_ = True
@@ -117,25 +117,25 @@
             peer.send(Draining("agent"))
 
     def restore(self) -> None:
-        """Take new work again."""
+        """Accept new attempts again."""
         self.draining_ = False
         self.reports_.send_load(force=True)
 
     def attach_models(self, loader: ModelLoader) -> None:
-        """Report what an engine holds, by its model loader, from now on."""
+        """Include the models of an engine in load reports from now on."""
         self.reports_.model_loader_ = loader
 
     def report_models(self) -> None:
-        """Tell the entries at once what the engine holds now."""
+        """Report at once to the entries which models the engine holds."""
         self.reports_.send_load(force=True)
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing waits, runs or is still being fed."""
+        """Return whether no attempt waits or runs and all results are sent."""
         return not self.state_.attempts_by_key_ and self.feeder_.is_idle
 
     def _submit(self, peer: PeerConnection, submit: Submit) -> None:
-        """Queue an attempt, or refuse it; one that is here already is left alone."""
+        """Queue an attempt or refuse it; ignore one that was accepted before."""
         now = self.clock()
         key = key_of(submit)
         if self.state_.results_.get(key) is not None:
@@ -164,7 +164,7 @@
         self.runner_.dispatch()
 
     def _queued_attempt(self, submit: Submit, now: float) -> QueuedAttempt:
-        """Return the attempt as the queue and the admission see it."""
+        """Return the record of an attempt for the queue and the admission."""
         estimate = self.state_.admission_.estimate_
         return QueuedAttempt(
             key=key_of(submit),
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_state.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_state.py
@@ -1,8 +1,8 @@
-"""Hold what an endpoint's agent has accepted, and how it is limited.
+"""Hold the attempts that the agent of an endpoint has accepted, and its limits.
 
-Owned by `AgentService`; `AttemptRunner` starts and ends attempts in it, and
-`EndpointReports` tells the entries what is there. The rules are `leadford.pipelines`:
-the order of the queue, admission, and the slots kept for more urgent work.
+Owned by `AgentService`. `AttemptRunner` starts and ends the attempts, and
+`EndpointReports` reports them to the entries. The order of the queue, admission and the
+slots reserved for more urgent attempts are decided in `leadford.pipelines`.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.agent._adapters import attempt_key
 
-# Stages with an effect that are remembered as begun.
-STAGES_BEGUN_KEPT = 20_000
+# Maximum number of started stages with a side effect that are remembered.
+MAX_BEGUN_EFFECTS = 20_000
 
 
 class AcceptedAttempt:
     """Hold an attempt that waits or runs.
 
-    `started_at_` is None while it waits.
+    `started_at_` is None while the attempt waits.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
 
 
 class EndpointState:
-    """Hold the queue, the running attempts and the kept results of one endpoint.
+    """Hold the queue, the running attempts and the stored results of one endpoint.
 
-    `effects_begun_` names the stages with an effect that were started here, the oldest
-    first; such a stage is never started twice.
+    `effects_begun_` lists the stages with a side effect that were started here, oldest
+    first. A stage in this list is not started again.
     """
 
     def __init__(self, *, pool: PoolConfig, config: FleetConfig) -> None:
@@ -66,7 +66,7 @@
         self.effects_begun_: dict[str, None] = {}
 
     def apply_config(self, config: FleetConfig, pool: PoolConfig) -> None:
-        """Apply a newer configuration; what is queued stays queued."""
+        """Apply a newer configuration; queued attempts stay queued."""
         self.config_ = config
         self.pool_ = pool
         self.admission_.concurrency = pool.concurrency
@@ -78,18 +78,18 @@
         return self.config_.terms(workspace)
 
     def has_begun_effect(self, submit: Submit) -> bool:
-        """Tell whether a stage with an effect was already started here."""
+        """Return whether a stage with a side effect was already started here."""
         return _effect_key(submit) in self.effects_begun_
 
     def record_effect(self, submit: Submit) -> None:
-        """Record that a stage with an effect is started here."""
+        """Record that a stage with a side effect is started here."""
         self.effects_begun_[_effect_key(submit)] = None
-        if len(self.effects_begun_) > STAGES_BEGUN_KEPT:
+        if len(self.effects_begun_) > MAX_BEGUN_EFFECTS:
             del self.effects_begun_[next(iter(self.effects_begun_))]
 
 
 def key_of(message: Submit | Credit | Ack | Cancel | Attach) -> str:
-    """Return the name of the attempt that a message is about."""
+    """Return the key of the attempt that a message refers to."""
     return attempt_key(message.request_id, message.stage, message.attempt)
 
 
