--- a/packages/leadford-cli/src/leadford_cli/operators/_client.py
+++ b/packages/leadford-cli/src/leadford_cli/operators/_client.py
@@ -14,12 +14,12 @@
 from tornado.httpclient import HTTPRequest
 from tornado.ioloop import IOLoop
 
-from leadford_server.web import NO_ANSWER, fetch
+from leadford_server.web import NO_RESPONSE_STATUS, fetch
 
 # Seconds for a call, more than an entry awaits a change (12 s).
 TIMEOUT_S = 30.0
 # Statuses after which the next entry is asked.
-UNSETTLED = (502, 503, 504, NO_ANSWER)
+UNSETTLED = (502, 503, 504, NO_RESPONSE_STATUS)
 
 
 class OperatorError(msgspec.Struct, frozen=True):
--- a/packages/leadford-cli/src/leadford_cli/replay/_caller.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_caller.py
@@ -11,7 +11,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest, HTTPResponse
 
 from leadford_cli.replay._trace import TraceRequest
-from leadford_server.web import NO_ANSWER, fetch
+from leadford_server.web import NO_RESPONSE_STATUS, fetch
 
 # Connections that a caller makes for a request; a choice of this tool.
 TRIES_MAX = 4
@@ -127,7 +127,7 @@
         while record.tries < TRIES_MAX and self._now_s() < limit_s:
             record.tries += 1
             response = await self._send(request, record, body, stream)
-            if response is not None and response.code != NO_ANSWER:
+            if response is not None and response.code != NO_RESPONSE_STATUS:
                 self._record_answer(record, response, stream)
                 if record.outcome != "unanswered":
                     break
--- a/packages/leadford-cli/src/leadford_cli/replay/_runner.py
+++ b/packages/leadford-cli/src/leadford_cli/replay/_runner.py
@@ -17,7 +17,7 @@
 from leadford_cli.replay._caller import Caller, CallRecord
 from leadford_cli.replay._report import Report, make_report
 from leadford_cli.replay._trace import Trace, TraceFault
-from leadford_server.web import NO_ANSWER, fetch
+from leadford_server.web import NO_RESPONSE_STATUS, fetch
 from leadford_standins.endpoints import ExecutionRecord
 from leadford_standins.fleet import FleetFile
 
@@ -129,7 +129,7 @@
             if name == "store":
                 continue
             response = await fetch(self.http_, f"{url}/_records")
-            if response.code == NO_ANSWER:
+            if response.code == NO_RESPONSE_STATUS:
                 continue
             tables.append(msgspec.json.decode(response.body, type=_EndpointRecords))
         return tables
--- a/packages/leadford-server/src/leadford_server/clock/_suspension.py
+++ b/packages/leadford-server/src/leadford_server/clock/_suspension.py
@@ -20,7 +20,7 @@
         self.steady = steady
         self.offset_s_: float | None = None
 
-    def slept_s(self) -> float:
+    def measure_suspension_s(self) -> float:
         """Return how long the host was suspended since the last call, or 0.
 
         Units: seconds.
--- a/packages/leadford-server/src/leadford_server/clock/tests/test_suspension.py
+++ b/packages/leadford-server/src/leadford_server/clock/tests/test_suspension.py
@@ -15,7 +15,7 @@
 
 def make_watch(clocks):
     watch = SuspensionWatch(boot=lambda: clocks.boot, steady=lambda: clocks.steady)
-    assert watch.slept_s() == 0.0
+    assert watch.measure_suspension_s() == 0.0
     return watch
 
 
@@ -24,9 +24,9 @@
     watch = make_watch(clocks)
     clocks.pass_time(1.0)
     clocks.boot += 10.0
-    assert watch.slept_s() == 10.0
+    assert watch.measure_suspension_s() == 10.0
     clocks.pass_time(1.0)
-    assert watch.slept_s() == 0.0
+    assert watch.measure_suspension_s() == 0.0
 
 
 def test_time_that_passes_is_no_suspension():
@@ -34,7 +34,7 @@
     watch = make_watch(clocks)
     clocks.pass_time(30.0)
     clocks.boot += 0.1
-    assert watch.slept_s() == 0.0
+    assert watch.measure_suspension_s() == 0.0
 
 
 def test_two_short_suspensions_count_apart():
@@ -42,4 +42,4 @@
     watch = make_watch(clocks)
     for _ in range(2):
         clocks.boot += 0.5
-        assert watch.slept_s() == 0.5
+        assert watch.measure_suspension_s() == 0.5
--- a/packages/leadford-server/src/leadford_server/forwarding/_contract.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_contract.py
@@ -113,7 +113,7 @@
     not_run: NotRunCause | None
     is_encoded: bool
     is_signed: bool
-    closes: bool
+    closes_connection: bool
     idle_timeout_s: float | None
     load: ReportedLoad | None
     model_version: int | None
@@ -159,7 +159,7 @@
     def read_answer(self, status: int, reason: str, headers: HeaderList) -> AnswerHead:
         """Return the head of an endpoint's answer."""
 
-    def refusal(self, retry_after_s: float | None) -> HeaderList:
+    def refusal_headers(self, retry_after_s: float | None) -> HeaderList:
         """Return the headers of an answer by which this entry refuses a request."""
 
     def piece_call(
@@ -170,7 +170,7 @@
     def read_pieces(self, body: bytes) -> Result[list[PieceOutcome], str]:
         """Return the outcomes of the pieces of a call, in order."""
 
-    def free_call(
+    def release_call(
         self, handles: list[ResultHandle], instance: EndpointId
     ) -> OutboundRequest:
         """Return the call that releases results."""
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -300,7 +300,7 @@
         """Check for suspensions of the host, and handle each when it is over."""
         watch = SuspensionWatch(boot=lambda: self.boot_clock(), steady=time.monotonic)
         while True:
-            slept_s = watch.slept_s()
+            slept_s = watch.measure_suspension_s()
             if slept_s > 0.0:
                 self._on_host_resumed(slept_s)
             await asyncio.sleep(SUSPENSION_POLL_S)
@@ -312,7 +312,7 @@
         for follower in self.followers_:
             follower.mark_unconfirmed()
 
-    def settings_changed(self) -> None:
+    def reload_settings(self) -> None:
         """Read the settings again; keep the current ones if that fails."""
         read = self.reload()
         if isinstance(read, Failure):
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_answer.py
@@ -140,7 +140,7 @@
         if answer.outcome is RequestOutcome.BROKEN_OFF:
             self.exchange.abort()
         else:
-            headers = self.state.codec.refusal(answer.retry_after_s)
+            headers = self.state.codec.refusal_headers(answer.retry_after_s)
             if body:
                 headers = [*headers, TEXT_CONTENT_TYPE]
             self.exchange.answer(answer.status, headers, body.encode())
--- a/packages/leadford-server/src/leadford_server/forwarding/answers/_callers.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/answers/_callers.py
@@ -95,7 +95,7 @@
 
     def _deny(self, status: int) -> None:
         """Reject a request that exceeds the limits before it is complete."""
-        self.answer(status, self.server.codec.refusal(None))
+        self.answer(status, self.server.codec.refusal_headers(None))
         self.server.on_rejected(self, status)
 
     def finish(self) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/batching/_free.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/batching/_free.py
@@ -78,7 +78,7 @@
     ) -> None:
         endpoint_id = record.listed.endpoint_id
         state = self.state
-        outbound = state.codec.free_call(handles, endpoint_id)
+        outbound = state.codec.release_call(handles, endpoint_id)
         sent_at = state.now()
         try:
             async with asyncio.timeout(FREE_TIMEOUT_S):
--- a/packages/leadford-server/src/leadford_server/forwarding/endpoints/_connection.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/endpoints/_connection.py
@@ -232,7 +232,11 @@
     def _is_reusable(self, answer: LiveAnswer) -> bool:
         """Return whether the answer and the request were transferred completely."""
         reader = answer.reader
-        if not reader.is_complete_ or not reader.is_framed_ or answer.head.closes:
+        if (
+            not reader.is_complete_
+            or not reader.is_framed_
+            or answer.head.closes_connection
+        ):
             return False
         # An endpoint may answer before it has read a long request body.
         if not answer.reading.done() or not self.is_usable:
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/_links.py
@@ -183,7 +183,7 @@
                 log=self.state.log,
                 random=self.random,
                 config_version=self.news.version,
-                unreachable=lambda: None,
+                on_disconnected=lambda: None,
             )
             dialer.start()
             self.dialers_by_id_[entry_id] = dialer
--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_relays.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_relays.py
@@ -98,7 +98,9 @@
         self.store = store
         self.unanswered_from = unanswered_from
 
-    async def call(self, path, *, wait_s=0.0, first_byte_timeout_s=1.5, is_fresh=False):
+    async def call(
+        self, path, *, wait_s=0.0, first_byte_timeout_s=1.5, opens_connection=False
+    ):
         return await self.store.call(
             path, wait_s, first_byte_timeout_s, self.unanswered_from
         )
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_client.py
@@ -23,7 +23,12 @@
     STORE_CALLS_TOTAL,
     UNREADABLE_RECORDS_TOTAL,
 )
-from leadford_server.web import NO_ANSWER, Patience, Transferred, fetch_while_arriving
+from leadford_server.web import (
+    NO_RESPONSE_STATUS,
+    FetchedResponse,
+    FetchTimeouts,
+    fetch_while_arriving,
+)
 
 # Timeouts of a call until the first byte of the response, and of its connection.
 FIRST_BYTE_TIMEOUT_S = 1.5
@@ -72,11 +77,11 @@
         body: bytes | None = None,
         wait_s: float = 0.0,
         first_byte_timeout_s: float = FIRST_BYTE_TIMEOUT_S,
-        is_fresh: bool = False,
+        opens_connection: bool = False,
     ) -> Result[StoreAnswer, StoreFailure]:
         """Return a successful response, or the reason why there is none.
 
-        With `is_fresh` the call opens a new connection.
+        With `opens_connection` the call opens a new connection.
         """
         request = HTTPRequest(
             self.url + path,
@@ -86,20 +91,20 @@
             allow_nonstandard_methods=True,
             decompress_response=False,
         )
-        patience = Patience(
-            connect_s=CONNECT_TIMEOUT_S,
-            first_s=wait_s + first_byte_timeout_s,
-            stall_s=STALL_TIMEOUT_S,
-            whole_s=wait_s + ANSWER_MAX_S,
+        timeouts = FetchTimeouts(
+            connect_timeout_s=CONNECT_TIMEOUT_S,
+            first_byte_timeout_s=wait_s + first_byte_timeout_s,
+            stall_timeout_s=STALL_TIMEOUT_S,
+            total_timeout_s=wait_s + ANSWER_MAX_S,
         )
         answer = await fetch_while_arriving(
-            self.http, request, patience, is_fresh=is_fresh
+            self.http, request, timeouts, opens_connection=opens_connection
         )
         kind = "watch" if wait_s else "read" if method == "GET" else "write"
         return self._handle_response(path, kind, answer)
 
     def _handle_response(
-        self, path: str, kind: str, answer: Transferred
+        self, path: str, kind: str, answer: FetchedResponse
     ) -> Result[StoreAnswer, StoreFailure]:
         """Count a response and return it, or the failure that its status stands for."""
         status = answer.status
@@ -113,12 +118,12 @@
         if is_success:
             self._record_availability(True, status)
             return Success(StoreAnswer(answer.body, self.epochs.current_))
-        if status == NO_ANSWER:
+        if status == NO_RESPONSE_STATUS:
             # The rate of calls bounds the number of these log lines.
             self.log.report(
                 Event.STORE_ANSWER_LOST,
                 path=path,
-                waited_ms=round(answer.took_s * 1_000.0),
+                waited_ms=round(answer.duration_s * 1_000.0),
                 bytes=len(answer.body),
             )
             self._record_availability(False, status)
@@ -127,7 +132,7 @@
         self._record_availability(failure is not StoreFailure.UNAVAILABLE, status)
         return Failure(failure)
 
-    def _is_past_epoch(self, answer: Transferred) -> bool:
+    def _is_past_epoch(self, answer: FetchedResponse) -> bool:
         """Record the epoch of a response; return whether it belongs to a past epoch."""
         before = self.epochs.current_
         epoch = self.codec.read_epoch(answer.headers)
@@ -142,7 +147,7 @@
         """Log when the store stops or starts to answer, and for how long it did not."""
         now = asyncio.get_running_loop().time()
         last_at = self.answered_at_
-        self.is_silent_ = status == NO_ANSWER
+        self.is_silent_ = status == NO_RESPONSE_STATUS
         if answered:
             self.answered_at_ = now
         if answered == self.is_available_:
--- a/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/_follow.py
@@ -253,7 +253,7 @@
             read = await self.client.call(
                 codec.list_path(self.kind, after, may_be_stale=may_be_stale),
                 first_byte_timeout_s=self.call_s(),
-                is_fresh=self.client.is_silent_,
+                opens_connection=self.client.is_silent_,
             )
             if isinstance(read, Failure):
                 if read.failure() is StoreFailure.PAST_EPOCH:
@@ -335,7 +335,7 @@
             path,
             wait_s=wait_s,
             first_byte_timeout_s=first_byte_timeout_s,
-            is_fresh=reconnects,
+            opens_connection=reconnects,
         )
 
     def _report(self, faults: Sequence[str]) -> None:
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_follow.py
@@ -20,7 +20,7 @@
 from leadford_server.forwarding.store._client import ObjectsClient
 from leadford_server.forwarding.store._factory import FollowerFactory
 from leadford_server.forwarding.store._follow import KindFollower
-from leadford_server.web import Transferred
+from leadford_server.web import FetchedResponse
 from leadford_standins.simulated import run_simulated
 
 NO_NEWS = Success(StoreAnswer(b'{"events": [], "at": 7}', FIRST_EPOCH))
@@ -38,9 +38,9 @@
         self.waits_ = []
         self.fresh_ = []
 
-    async def call(self, path, *, wait_s, first_byte_timeout_s, is_fresh):
+    async def call(self, path, *, wait_s, first_byte_timeout_s, opens_connection):
         self.waits_.append(wait_s)
-        self.fresh_.append(is_fresh)
+        self.fresh_.append(opens_connection)
         return self.answers.pop(0)
 
 
@@ -99,13 +99,13 @@
 
 def test_the_time_between_confirmations_is_counted_by_kind():
     class SlowClient(Client):
-        async def call(self, path, *, wait_s, first_byte_timeout_s, is_fresh):
+        async def call(self, path, *, wait_s, first_byte_timeout_s, opens_connection):
             await asyncio.sleep(3.2)
             return await super().call(
                 path,
                 wait_s=wait_s,
                 first_byte_timeout_s=first_byte_timeout_s,
-                is_fresh=is_fresh,
+                opens_connection=opens_connection,
             )
 
     client = SlowClient([NO_NEWS, NO_NEWS])
@@ -156,7 +156,7 @@
     async def sort_each():
         found = []
         for status in (503, 599, 410, 599, 200):
-            client._handle_response("path", "watch", Transferred(status, b"", 1.0))
+            client._handle_response("path", "watch", FetchedResponse(status, b"", 1.0))
             found.append(client.is_silent_)
         return found
 
@@ -185,13 +185,15 @@
     class Paths(Client):
         paths = []
 
-        async def call(self, path, *, wait_s=0.0, first_byte_timeout_s, is_fresh):
+        async def call(
+            self, path, *, wait_s=0.0, first_byte_timeout_s, opens_connection
+        ):
             self.paths.append(path)
             return await super().call(
                 path,
                 wait_s=wait_s,
                 first_byte_timeout_s=first_byte_timeout_s,
-                is_fresh=is_fresh,
+                opens_connection=opens_connection,
             )
 
     def page(revision, more):
--- a/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/store/tests/test_silent_store.py
@@ -69,7 +69,7 @@
         *,
         wait_s=0.0,
         first_byte_timeout_s=FIRST_BYTE_TIMEOUT_S,
-        is_fresh=False,
+        opens_connection=False,
     ):
         now = asyncio.get_running_loop().time()
         given_up_at = now + wait_s + first_byte_timeout_s
--- a/packages/leadford-server/src/leadford_server/main.py
+++ b/packages/leadford-server/src/leadford_server/main.py
@@ -25,7 +25,7 @@
 )
 
 # Exit status for invalid settings; each fault is printed.
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 def entry(
@@ -117,7 +117,7 @@
         for fault in settings.failure():
             log.report(Event.SETTINGS_INVALID, fault=str(fault))
             print(f"leadfordd: {fault}", file=sys.stderr)
-        return EXIT_SETTINGS
+        return EXIT_INVALID_SETTINGS
     with asyncio.Runner(loop_factory=new_loop) as runner:
         return runner.run(_run(process_class, settings.unwrap()))
 
--- a/packages/leadford-server/src/leadford_server/peers/_dialer.py
+++ b/packages/leadford-server/src/leadford_server/peers/_dialer.py
@@ -1,7 +1,7 @@
 """Keep a connection to one peer open, and reconnect when it is lost.
 
 Owns one outgoing connection; reconnects with exponential backoff and jitter. A failed
-attempt to connect is not logged here: `unreachable` notifies the owner. The handler
+attempt to connect is not logged here: `on_disconnected` notifies the owner. The handler
 logs the end of an open connection.
 """
 
@@ -34,7 +34,7 @@
 class Dialer:
     """Keep one outgoing connection open.
 
-    `unreachable` is called after each failed attempt and each lost connection.
+    `on_disconnected` is called after each failed attempt and each lost connection.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         log: EventLog,
         random: Random,
         config_version: Callable[[], int],
-        unreachable: Callable[[], None],
+        on_disconnected: Callable[[], None],
     ) -> None:
         self.address = address
         self.identity = identity
@@ -54,7 +54,7 @@
         self.log = log
         self.random = random
         self.config_version = config_version
-        self.unreachable = unreachable
+        self.on_disconnected = on_disconnected
         self.peer_: PeerConnection | None = None
         self.task_: asyncio.Task[None] | None = None
         self.failures_ = 0
@@ -81,7 +81,7 @@
         while True:
             served = await self._connect_once()
             self.failures_ += 1
-            self.unreachable()
+            self.on_disconnected()
             delay_s = (
                 RECONNECT_DELAY_MIN_S
                 if served
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_adapters.py
@@ -16,7 +16,7 @@
 
 from leadford.common import Registry
 from leadford.protocol import DoneStatus, Submit
-from leadford_server.web import NO_ANSWER, fetch, was_closed
+from leadford_server.web import NO_RESPONSE_STATUS, fetch, is_closed_by_peer
 
 # Timeout of a connection to the endpoint beside the agent, and of a cancellation.
 CONNECT_TIMEOUT_S = 1.0
@@ -111,11 +111,11 @@
             request_timeout=timeout_s,
         )
         response = await fetch(self.http, request)
-        if response.code == NO_ANSWER:
+        if response.code == NO_RESPONSE_STATUS:
             return AdapterOutcome(
                 DoneStatus.FAILED,
                 error=str(response.error),
-                endpoint_ended=was_closed(response),
+                endpoint_ended=is_closed_by_peer(response),
             )
         if response.code != 200:
             return AdapterOutcome(DoneStatus.FAILED, error=f"status {response.code}")
@@ -274,7 +274,7 @@
         response = await fetch(self.http, request)
         if response.code == 200:
             return ""
-        reader.endpoint_ended_ |= was_closed(response)
+        reader.endpoint_ended_ |= is_closed_by_peer(response)
         return str(response.error or response.code)
 
     def _outcome(self, reader: _SseReader, error: str) -> AdapterOutcome:
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
@@ -17,7 +17,7 @@
 from leadford.protocol import HeldModel, PlanOrder
 from leadford_server.clock import boot_time
 from leadford_server.logs import EventLog
-from leadford_server.web import NO_ANSWER, fetch
+from leadford_server.web import NO_RESPONSE_STATUS, fetch
 
 # Timeouts of an order and of a read of the held models, and the interval between checks
 # while the engine does not hold what the plan says.
@@ -124,6 +124,6 @@
             request_timeout=ORDER_TIMEOUT_S,
         )
         response = await fetch(self.http, request)
-        if response.code == NO_ANSWER:
+        if response.code == NO_RESPONSE_STATUS:
             self.log.report(Event.ORDER_IN_DOUBT, **order)
             self.sequence.record_lost(step, boot_time())
--- a/packages/leadford-server/src/leadford_server/pipelines/config/tests/test_silent_store.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/tests/test_silent_store.py
@@ -26,7 +26,7 @@
 )
 from leadford_server.pipelines.config import ConfigFollower
 from leadford_server.pipelines.store import StoreClient
-from leadford_server.web import NO_ANSWER
+from leadford_server.web import NO_RESPONSE_STATUS
 from leadford_standins.simulated import run_simulated
 
 # Time within which a change must be in force everywhere.
@@ -67,7 +67,7 @@
         waits_until = self._waits_until(began_at, fields)
         if self._is_unanswered(began_at, waits_until + ANSWER_S):
             await asyncio.sleep(request.request_timeout)
-            return HTTPResponse(request, NO_ANSWER)
+            return HTTPResponse(request, NO_RESPONSE_STATUS)
         await asyncio.sleep(waits_until + ANSWER_S - began_at)
         return self._answer(request, parts.path.removeprefix("/objects/"), fields)
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_dialers.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_dialers.py
@@ -21,7 +21,7 @@
     random: Random
     config_version: Callable[[], int]
 
-    def make(self, address: str, unreachable: Callable[[], None]) -> Dialer:
+    def make(self, address: str, on_disconnected: Callable[[], None]) -> Dialer:
         """Return a started dialer."""
         dialer = Dialer(
             address=address,
@@ -30,7 +30,7 @@
             log=self.log,
             random=self.random,
             config_version=self.config_version,
-            unreachable=unreachable,
+            on_disconnected=on_disconnected,
         )
         dialer.start()
         return dialer
--- a/packages/leadford-server/src/leadford_server/web/__init__.py
+++ b/packages/leadford-server/src/leadford_server/web/__init__.py
@@ -1,13 +1,17 @@
 """HTTP client functions that the processes share."""
 
-from leadford_server.web._fetch import NO_ANSWER, fetch, was_closed
-from leadford_server.web._transfer import Patience, Transferred, fetch_while_arriving
+from leadford_server.web._fetch import NO_RESPONSE_STATUS, fetch, is_closed_by_peer
+from leadford_server.web._transfer import (
+    FetchedResponse,
+    FetchTimeouts,
+    fetch_while_arriving,
+)
 
 __all__ = [
-    "NO_ANSWER",
-    "Patience",
-    "Transferred",
+    "NO_RESPONSE_STATUS",
+    "FetchTimeouts",
+    "FetchedResponse",
     "fetch",
     "fetch_while_arriving",
-    "was_closed",
+    "is_closed_by_peer",
 ]
--- a/packages/leadford-server/src/leadford_server/web/_fetch.py
+++ b/packages/leadford-server/src/leadford_server/web/_fetch.py
@@ -10,7 +10,7 @@
 )
 
 # Status that tornado's client sets where no response came; it is never sent.
-NO_ANSWER = 599
+NO_RESPONSE_STATUS = 599
 # Error numbers of curl for an open connection that the peer closed.
 _CLOSED_BY_PEER = frozenset(
     {
@@ -30,10 +30,10 @@
         # The client still raises if the connection fails or times out.
         return await http.fetch(request, raise_error=False)
     except (HTTPClientError, OSError) as error:
-        return HTTPResponse(request, NO_ANSWER, error=error)
+        return HTTPResponse(request, NO_RESPONSE_STATUS, error=error)
 
 
-def was_closed(response: HTTPResponse) -> bool:
+def is_closed_by_peer(response: HTTPResponse) -> bool:
     """Return whether the peer closed the connection during a call."""
     error = response.error
     return isinstance(error, CurlError) and error.errno in _CLOSED_BY_PEER
--- a/packages/leadford-server/src/leadford_server/web/_transfer.py
+++ b/packages/leadford-server/src/leadford_server/web/_transfer.py
@@ -14,7 +14,7 @@
 import pycurl
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
-from leadford_server.web._fetch import NO_ANSWER, fetch
+from leadford_server.web._fetch import NO_RESPONSE_STATUS, fetch
 
 # Time without data after which curl itself ends a transfer; no transfer reaches it.
 _LOW_SPEED_TIMEOUT_S = 3_600
@@ -23,29 +23,29 @@
 _ABORT = 1
 
 
-class Patience(msgspec.Struct, frozen=True):
+class FetchTimeouts(msgspec.Struct, frozen=True):
     """Hold the timeouts of a call.
 
     Units: seconds; until the connection is open, until the first byte, between two
-    parts after it, and in total. A short `connect_s` also frees the handle of a call
-    that was abandoned before its connection was open.
+    parts after it, and in total. A short `connect_timeout_s` also frees the
+    handle of a call that was abandoned before its connection was open.
     """
 
-    connect_s: float
-    first_s: float
-    stall_s: float
-    whole_s: float
+    connect_timeout_s: float
+    first_byte_timeout_s: float
+    stall_timeout_s: float
+    total_timeout_s: float
 
 
-class Transferred(msgspec.Struct, frozen=True):
-    """Hold a response; if it is incomplete, `status` is 599 `body` what arrived.
+class FetchedResponse(msgspec.Struct, frozen=True):
+    """Hold a response; if it is incomplete, `status` is 599 and `body` is what arrived.
 
-    Units: took_s in seconds.
+    Units: duration_s in seconds.
     """
 
     status: int
     body: bytes
-    took_s: float
+    duration_s: float
     headers: Mapping[str, str] = {}
 
 
@@ -63,12 +63,12 @@
         self.chunks_.append(chunk)
         self.last_chunk_at_ = self.now()
 
-    def attach(self, curl: pycurl.Curl, *, is_fresh: bool) -> None:
+    def attach(self, curl: pycurl.Curl, *, opens_connection: bool) -> None:
         """Configure a curl handle to check whether the transfer was abandoned.
 
         Curl checks once a second. A handle keeps its settings for the next call.
         """
-        curl.setopt(pycurl.FRESH_CONNECT, int(is_fresh))
+        curl.setopt(pycurl.FRESH_CONNECT, int(opens_connection))
         curl.setopt(pycurl.NOPROGRESS, 0)
         curl.setopt(pycurl.XFERINFOFUNCTION, self._on_progress)
         # Curl checks an idle transfer only while a speed limit is set.
@@ -82,28 +82,33 @@
 async def fetch_while_arriving(
     http: AsyncHTTPClient,
     request: HTTPRequest,
-    patience: Patience,
+    timeouts: FetchTimeouts,
     *,
-    is_fresh: bool = False,
-) -> Transferred:
+    opens_connection: bool = False,
+) -> FetchedResponse:
     """Return the response, waiting for as long as parts of it arrive.
 
-    Sets the timeouts of the request. With `is_fresh` it opens a new connection, as the
-    pooled ones may all have stopped responding at once.
+    Sets the timeouts of the request. With `opens_connection` it opens a new
+    connection, as the pooled ones may all have stopped responding at once.
     """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     transfer = _Transfer(now=loop.time)
-    request.connect_timeout = patience.connect_s
-    request.request_timeout = patience.whole_s
+    request.connect_timeout = timeouts.connect_timeout_s
+    request.request_timeout = timeouts.total_timeout_s
     request.streaming_callback = transfer.add_chunk
-    request.prepare_curl_callback = partial(transfer.attach, is_fresh=is_fresh)
+    request.prepare_curl_callback = partial(
+        transfer.attach, opens_connection=opens_connection
+    )
     call = asyncio.ensure_future(fetch(http, request))
-    status = NO_ANSWER
+    status = NO_RESPONSE_STATUS
     headers: Mapping[str, str] = {}
     try:
         if await _wait_for_call(
-            call, transfer, started_at + patience.first_s, patience.stall_s
+            call,
+            transfer,
+            started_at + timeouts.first_byte_timeout_s,
+            timeouts.stall_timeout_s,
         ):
             status = call.result().code
             headers = call.result().headers
@@ -111,11 +116,11 @@
         # Also ends the transfer when this call is cancelled.
         transfer.is_abandoned_ = True
     took_s = loop.time() - started_at
-    return Transferred(status, b"".join(transfer.chunks_), took_s, headers)
+    return FetchedResponse(status, b"".join(transfer.chunks_), took_s, headers)
 
 
 async def _wait_for_call(
-    call: asyncio.Future, transfer: _Transfer, deadline: float, stall_s: float
+    call: asyncio.Future, transfer: _Transfer, deadline: float, stall_timeout_s: float
 ) -> bool:
     """Wait until a call has ended or stalled; return whether it has ended."""
     loop = asyncio.get_running_loop()
@@ -125,5 +130,5 @@
             return False
         await asyncio.wait({call}, timeout=remaining_s)
         if transfer.last_chunk_at_ is not None:
-            deadline = max(deadline, transfer.last_chunk_at_ + stall_s)
+            deadline = max(deadline, transfer.last_chunk_at_ + stall_timeout_s)
     return True
--- a/packages/leadford-server/src/leadford_server/web/tests/test_transfer.py
+++ b/packages/leadford-server/src/leadford_server/web/tests/test_transfer.py
@@ -5,11 +5,17 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPRequest
 
-from leadford_server.web import NO_ANSWER, Patience, fetch_while_arriving
+from leadford_server.web import NO_RESPONSE_STATUS, FetchTimeouts, fetch_while_arriving
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"
-# `first_s` and `stall_s` are far below the duration of a response in ten parts.
-PATIENCE = Patience(connect_s=0.6, first_s=0.3, stall_s=0.3, whole_s=10.0)
+# `first_byte_timeout_s` and `stall_timeout_s` are far below the duration of a response
+# in ten parts.
+TIMEOUTS = FetchTimeouts(
+    connect_timeout_s=0.6,
+    first_byte_timeout_s=0.3,
+    stall_timeout_s=0.3,
+    total_timeout_s=10.0,
+)
 
 
 async def fetch_from(serve):
@@ -23,7 +29,7 @@
     response = await fetch_while_arriving(
         http,
         HTTPRequest(f"http://127.0.0.1:{port}/"),
-        PATIENCE,
+        TIMEOUTS,
     )
     server.close()
     return response, http
@@ -40,7 +46,9 @@
 
     response, _ = asyncio.run(fetch_from(serve))
     assert (response.status, response.body) == (200, b"x" * 10)
-    assert response.took_s > PATIENCE.first_s + PATIENCE.stall_s
+    assert (
+        response.duration_s > TIMEOUTS.first_byte_timeout_s + TIMEOUTS.stall_timeout_s
+    )
 
 
 def test_an_answer_that_stops_is_given_up_with_what_had_come():
@@ -50,7 +58,7 @@
         await reader.read(1_000)
 
     response, _ = asyncio.run(fetch_from(serve))
-    assert (response.status, response.body) == (NO_ANSWER, b"xxx")
+    assert (response.status, response.body) == (NO_RESPONSE_STATUS, b"xxx")
 
 
 def test_an_answer_that_does_not_begin_is_given_up():
@@ -59,7 +67,7 @@
         await reader.read(1_000)
 
     response, _ = asyncio.run(fetch_from(serve))
-    assert (response.status, response.body) == (NO_ANSWER, b"")
+    assert (response.status, response.body) == (NO_RESPONSE_STATUS, b"")
 
 
 def test_the_connection_of_an_answer_that_was_given_up_is_closed():
@@ -73,7 +81,7 @@
 
     async def main():
         response, http = await fetch_from(serve)
-        assert response.status == NO_ANSWER
+        assert response.status == NO_RESPONSE_STATUS
         async with asyncio.timeout(5.0):
             await closed.wait()
         http.close()
--- a/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_fleet.py
@@ -24,7 +24,7 @@
     ListingHolder,
     ObjectsClient,
 )
-from leadford_server.web import NO_ANSWER, Transferred
+from leadford_server.web import NO_RESPONSE_STATUS, FetchedResponse
 from leadford_standins.wire._store import StoreCopy, StoreFault, StoreStandIn
 
 ENDPOINTS_KIND = "servers"
@@ -55,11 +55,11 @@
         self.calls_ += 1
         await asyncio.sleep(ANSWER_DELAY_S)
         status, page = await self._answer(path, wait_s)
-        has_era = status != NO_ANSWER and self.store.era_ is not None
+        has_era = status != NO_RESPONSE_STATUS and self.store.era_ is not None
         headers = {"Store-Era": str(self.store.era_)} if has_era else {}
         body = json.dumps(page).encode()
         return self._handle_response(
-            path, "read", Transferred(status, body, 0.0, headers)
+            path, "read", FetchedResponse(status, body, 0.0, headers)
         )
 
     async def _answer(self, path: str, wait_s: float) -> tuple[int, dict]:
@@ -68,7 +68,7 @@
         fields = parse_qs(urlsplit(path).query)
         if "watch" not in fields:
             if store.fault is StoreFault.RESET:
-                return NO_ANSWER, {}
+                return NO_RESPONSE_STATUS, {}
             items = list(store.objects_by_kind_.get(kind, {}).values())
             return 200, {"items": items, "more": False, "at": store.revision_}
         return await self._watch(kind, int(fields["watch"][0]), wait_s)
@@ -79,7 +79,7 @@
         deadline = now() + wait_s
         while True:
             if store.fault is StoreFault.RESET:
-                return NO_ANSWER, {}
+                return NO_RESPONSE_STATUS, {}
             events = store.events_after(kind, revision)
             if events is None:
                 return 410, {}
