--- a/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_store_histories.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/membership/tests/test_store_histories.py
@@ -93,7 +93,7 @@
         self.copies = [held]
         await asyncio.sleep(seconds / 4.0)
         if not is_lost:
-            store.write_again(before, held, ["servers"])
+            store.rewrite_lost_objects(before, held, ["servers"])
 
     def faults(self, now):
         """Return where the state of entries differs from what the store holds."""
--- a/packages/leadford-standins/src/leadford_standins/demo.py
+++ b/packages/leadford-standins/src/leadford_standins/demo.py
@@ -4,7 +4,7 @@
 """
 
 from leadford_standins.fleet import Fleet, deployments
-from leadford_standins.wire import run_calm
+from leadford_standins.wire import run_without_faults
 
 TRACE_BY_DEPLOYMENT = {
     "damier": "damier_club_night",
@@ -39,7 +39,7 @@
             report = Replay(trace=trace, fleet=fleet.file()).run()
         _print_report(report)
         violations += report.violations.count
-    violations += run_calm()
+    violations += run_without_faults()
     print(f"\nviolations found: {violations}")
     return 0 if violations == 0 else 1
 
--- a/packages/leadford-standins/src/leadford_standins/soak/faults/_platform.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/faults/_platform.py
@@ -89,7 +89,7 @@
     if store.fault is StoreFault.RESET:
         store.fault = StoreFault.NONE
     await asyncio.sleep(REWRITE_DELAY_S)
-    store.write_again(before, snapshot, REWRITTEN_KINDS)
+    store.rewrite_lost_objects(before, snapshot, REWRITTEN_KINDS)
     disturbance.until_s = loop.time()
 
 
@@ -183,14 +183,14 @@
     if isinstance(endpoint, StageStandIn):
         allowed = STAGE_MISBEHAVIOURS
     for _ in range(max(1, int(fault.amount))):
-        endpoint.next_.append(scene.random.choice(allowed))
+        endpoint.planned_misbehaviours_.append(scene.random.choice(allowed))
     loop = asyncio.get_running_loop()
     disturbance = scene.ledger.disturb(
         MISBEHAVIOUR, fault.kind, loop.time(), float("inf")
     )
-    while endpoint.next_ and loop.time() < scene.ends_at_:
+    while endpoint.planned_misbehaviours_ and loop.time() < scene.ends_at_:
         await asyncio.sleep(POLL_INTERVAL_S)
-    if not endpoint.next_:
+    if not endpoint.planned_misbehaviours_:
         disturbance.until_s = loop.time()
 
 
--- a/packages/leadford-standins/src/leadford_standins/soak/parts/_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/soak/parts/_endpoints.py
@@ -104,12 +104,14 @@
 
     def _make_endpoint(self, service: str, hall: str) -> PlainStandIn:
         if service == "stage":
-            stage = StageStandIn(service=service, hall=hall, makers=self.makers_)
+            stage = StageStandIn(
+                service=service, hall=hall, result_holders=self.makers_
+            )
             self.makers_.append(stage)
             return stage
         if service == "engine":
             engine = RequestNamingEngine(
-                service=service, hall=hall, makers=self.makers_
+                service=service, hall=hall, result_holders=self.makers_
             )
             engine.pause_s = 0.05
             return engine
@@ -119,8 +121,8 @@
         """Start an endpoint and list it."""
         running = RunningEndpoint(endpoint=self._make_endpoint(service, hall))
         # A shared set, so that endpoints started later end on the same requests.
-        running.endpoint.ends_on_ = self.ledger.ending_bodies_
-        running.endpoint.on_end_ = partial(self._on_end, running)
+        running.endpoint.crash_bodies_ = self.ledger.ending_bodies_
+        running.endpoint.on_crash_ = partial(self._on_end, running)
         await running.start()
         self.live_.append(running)
         self.all_.append(running)
--- a/packages/leadford-standins/src/leadford_standins/wire/__init__.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/__init__.py
@@ -4,7 +4,7 @@
 and inject the faults that a test configures.
 """
 
-from leadford_standins.wire._calm import run_calm
+from leadford_standins.wire._calm import run_without_faults
 from leadford_standins.wire._deployment import HOST, KEY, Deployment, default_config
 from leadford_standins.wire._endpoints import (
     Arrival,
@@ -15,7 +15,12 @@
 )
 from leadford_standins.wire._engines import EngineStandIn
 from leadford_standins.wire._fleet import SimulatedEntry, SimulatedFleet
-from leadford_standins.wire._scenarios import event_ids, play, runs_of, turn_away
+from leadford_standins.wire._scenarios import (
+    event_ids,
+    refuse_store_calls,
+    run_scenario,
+    runs_of,
+)
 from leadford_standins.wire._store import StoreCopy, StoreFault, StoreStandIn
 
 __all__ = [
@@ -35,8 +40,8 @@
     "StoreStandIn",
     "default_config",
     "event_ids",
-    "play",
-    "run_calm",
+    "refuse_store_calls",
+    "run_scenario",
+    "run_without_faults",
     "runs_of",
-    "turn_away",
 ]
--- a/packages/leadford-standins/src/leadford_standins/wire/_calm.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_calm.py
@@ -16,7 +16,7 @@
 ENTRY_COUNT = 2
 
 
-def run_calm(*, duration_s: float = DURATION_S, seed: int = 1) -> int:
+def run_without_faults(*, duration_s: float = DURATION_S, seed: int = 1) -> int:
     """Serve callers; return the number of repeated runs and failed requests.
 
     Units: duration_s in seconds.
@@ -38,7 +38,7 @@
             await asyncio.sleep(random.expovariate(REQUESTS_PER_S))
         await asyncio.gather(*tasks)
         repeated = _count_repeated_runs(deployment)
-        sizes = [size for stage in deployment.stage for size in stage.calls_]
+        sizes = [size for stage in deployment.stage for size in stage.batch_sizes_]
     print(f"\nplatform: {total} requests through {ENTRY_COUNT} entries on the wire")
     for (route, status), count in sorted(statuses.items()):
         print(f"{route:<12} {status:>6} {count:>6}")
--- a/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_deployment.py
@@ -133,10 +133,10 @@
         self.plain = [PlainStandIn(service="plain", hall=hall) for hall in halls]
         self.stage = []
         for hall in halls:
-            stage = StageStandIn(service="stage", hall=hall, makers=self.stage)
+            stage = StageStandIn(service="stage", hall=hall, result_holders=self.stage)
             self.stage.append(stage)
         self.engines = [
-            EngineStandIn(service="engine", hall=hall, makers=self.stage)
+            EngineStandIn(service="engine", hall=hall, result_holders=self.stage)
             for hall in halls
         ]
         for endpoint in self.all_endpoints():
@@ -160,8 +160,8 @@
         An endpoint with a new id replaces it after `restart_delay_s` seconds.
         """
         for endpoint in [*self.plain, *self.engines]:
-            endpoint.ends_on_.add(body)
-            endpoint.on_end_ = partial(
+            endpoint.crash_bodies_.add(body)
+            endpoint.on_crash_ = partial(
                 self._schedule_replacement, endpoint, restart_delay_s
             )
 
@@ -169,7 +169,7 @@
         """Make each stage endpoint crash as soon as it makes a piece with this key."""
         for endpoint in self.stage:
             endpoint.crash_keys_.add(request_key)
-            endpoint.on_end_ = partial(
+            endpoint.on_crash_ = partial(
                 self._schedule_replacement, endpoint, restart_delay_s
             )
 
@@ -185,7 +185,7 @@
         groups = (self.plain, self.stage, self.engines)
         group = next(group for group in groups if crashed in group)
         replacement = crashed.make_replacement()
-        replacement.on_end_ = partial(
+        replacement.on_crash_ = partial(
             self._schedule_replacement, replacement, restart_delay_s
         )
         group[group.index(crashed)] = replacement
@@ -206,7 +206,7 @@
         """Write the configuration to the store."""
         self.store.put("config", "main", self.config)
 
-    async def declare_call_ms(self, call_ms: float) -> None:
+    async def configure_call_ms(self, call_ms: float) -> None:
         """Apply a configuration with this duration of stage calls, on all entries.
 
         Entries abandon calls that last much longer than that.
@@ -237,7 +237,7 @@
         entry = await self._start(settings)
         self.entries_.append(entry)
         if wait:
-            await self.until(lambda: entry.is_ready and self.knows_all(entry))
+            await self.until(lambda: entry.is_ready and self.knows_all_endpoints(entry))
         return entry
 
     async def _start(self, settings: ForwardSettings) -> ForwardProcess:
@@ -259,7 +259,7 @@
         self.entries_[number] = entry
         return entry
 
-    def knows_all(self, entry: ForwardProcess) -> bool:
+    def knows_all_endpoints(self, entry: ForwardProcess) -> bool:
         """Return whether an entry knows every endpoint."""
         known = entry.state_.roster_.records_by_id_
         return all(endpoint.endpoint_id in known for endpoint in self.all_endpoints())
--- a/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_endpoints.py
@@ -65,17 +65,17 @@
         self.hall = hall
         self.work_s = work_s
         self.endpoint_id = f"i-{next(_ids)}"
-        self.next_: deque[Misbehaviour] = deque()
+        self.planned_misbehaviours_: deque[Misbehaviour] = deque()
         self.runs_: list[Run] = []
         self.arrivals_ = 0
         self.arrived_: list[Arrival] = []
         self.misbehaved_by_request_: dict[str, Misbehaviour] = {}
         self.left_early_ = 0
         # The endpoint crashes as soon as it runs a request with one of these bodies.
-        self.ends_on_: set[bytes] = set()
-        self.on_end_: Callable[[], None] | None = None
+        self.crash_bodies_: set[bytes] = set()
+        self.on_crash_: Callable[[], None] | None = None
         # Additional headers of each answer.
-        self.says_: dict[str, str] = {}
+        self.extra_headers_: dict[str, str] = {}
 
     def start(self) -> str:
         """Listen on loopback and return the address."""
@@ -99,20 +99,24 @@
         replacement = type(self)(
             service=self.service, hall=self.hall, work_s=self.work_s
         )
-        replacement.ends_on_ = self.ends_on_
+        replacement.crash_bodies_ = self.crash_bodies_
         return replacement
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """Simulate a crash of the process: close every connection at once."""
         self.server_.stop()
         for connection in list(self.server_._connections):
             connection.stream.close()
-        if self.on_end_ is not None:
-            self.on_end_()
+        if self.on_crash_ is not None:
+            self.on_crash_()
 
     def pop_misbehaviour(self) -> Misbehaviour:
         """Remove and return the queued misbehaviour for the next request."""
-        return self.next_.popleft() if self.next_ else Misbehaviour.NONE
+        return (
+            self.planned_misbehaviours_.popleft()
+            if self.planned_misbehaviours_
+            else Misbehaviour.NONE
+        )
 
     def spec(self, state: str = "ready") -> dict:
         """Return the spec under which the store lists the endpoint."""
@@ -135,15 +139,17 @@
         handler.finish(body + b" " + handler.request.body)
 
 
-def is_held(handle: str, makers: "list[StageStandIn]") -> bool:
-    """Return whether one of the makers holds a result; True if there are no makers."""
-    return not makers or any(handle in maker.results_ for maker in makers)
+def is_held(handle: str, result_holders: "list[StageStandIn]") -> bool:
+    """Return whether one of the holders has a result; True if there are none."""
+    return not result_holders or any(
+        handle in holder.results_ for holder in result_holders
+    )
 
 
 class StageStandIn(PlainStandIn):
     """Make pieces in batches, one call at a time, and hold at most `room` results.
 
-    A call reads its inputs from their makers when it starts to run.
+    A call reads its inputs from their holders when it starts to run.
     """
 
     def __init__(
@@ -151,13 +157,13 @@
         *,
         call_s: float = 0.02,
         room: int = 1_000,
-        makers: "list[StageStandIn] | None" = None,
+        result_holders: "list[StageStandIn] | None" = None,
         **fields,
     ) -> None:
         super().__init__(**fields)
         self.call_s = call_s
         self.room = room
-        self.makers = makers if makers is not None else []
+        self.result_holders = result_holders if result_holders is not None else []
         self.gone_ = 0
         self.without_room_count_ = 0
         self.max_results_ = 0
@@ -167,7 +173,7 @@
         self.call_lock_ = asyncio.Lock()
         self.results_: set[str] = set()
         self.items_: list[dict] = []
-        self.calls_: list[int] = []
+        self.batch_sizes_: list[int] = []
         # The endpoint crashes as soon as it makes a piece with one of these keys.
         self.crash_keys_: set[str] = set()
 
@@ -177,7 +183,7 @@
         if handler.request.path.endswith("stage-free"):
             released = self.results_ & set(body["kvHandles"])
             self.results_ -= released
-            if any(maker.call_lock_.locked() for maker in self.makers):
+            if any(holder.call_lock_.locked() for holder in self.result_holders):
                 self.freed_in_call_ += len(released)
             handler.finish({})
             return
@@ -186,9 +192,9 @@
             self.waiting_ -= 1
             keys = {item.get("privateKey", "") for item in body["items"]}
             if keys & self.crash_keys_:
-                self.calls_.append(len(body["items"]))
+                self.batch_sizes_.append(len(body["items"]))
                 handler.suppress_answer()
-                self.end()
+                self.crash()
                 return
             items = [
                 self._make_piece(
@@ -197,7 +203,7 @@
                 for item in body["items"]
             ]
             await asyncio.sleep(self.call_s)
-        self.calls_.append(len(items))
+        self.batch_sizes_.append(len(items))
         handler.set_header(
             "X-Server-Load", f"{int(self.call_lock_.locked())},{self.waiting_},1"
         )
@@ -206,7 +212,9 @@
     def _make_piece(self, item: dict, *, is_gone: bool) -> dict:
         """Read the inputs of a piece, reserve room for its result and make it."""
         inputs = item.get("inputs", [])
-        if is_gone or not all(is_held(handle, self.makers) for handle in inputs):
+        if is_gone or not all(
+            is_held(handle, self.result_holders) for handle in inputs
+        ):
             self.gone_ += 1
             return {"reason": "gone"}
         self.results_read_ += len(inputs)
@@ -224,7 +232,7 @@
         replacement = StageStandIn(
             call_s=self.call_s,
             room=self.room,
-            makers=self.makers,
+            result_holders=self.result_holders,
             service=self.service,
             hall=self.hall,
         )
@@ -248,7 +256,7 @@
         request_id = self.request.headers.get("X-Attempt-Id", "")
         self.set_header("X-Attempt-Id", request_id)
         self.set_header("X-Server-Load", "1,0,4")
-        for name, value in endpoint.says_.items():
+        for name, value in endpoint.extra_headers_.items():
             self.set_header(name, value)
         expected = self.request.headers.get("X-Expect-Instance")
         if expected not in (None, endpoint.endpoint_id):
@@ -263,10 +271,10 @@
         if self.misbehaviour is Misbehaviour.REFUSE:
             self.refuse(503)
             return
-        if self.request.body in endpoint.ends_on_:
+        if self.request.body in endpoint.crash_bodies_:
             self.record_run()
             self.suppress_answer()
-            endpoint.end()
+            endpoint.crash()
             return
         if self.misbehaviour is Misbehaviour.FAIL:
             self.record_run()
--- a/packages/leadford-standins/src/leadford_standins/wire/_engines.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_engines.py
@@ -61,14 +61,14 @@
         events: int = 5,
         requires_inputs: bool = True,
         memory_tokens: int = 100_000,
-        makers: list[StageStandIn] | None = None,
+        result_holders: list[StageStandIn] | None = None,
         **fields,
     ) -> None:
         super().__init__(**fields)
         self.events = events
         self.requires_inputs = requires_inputs
         self.pause_s = 0.005
-        self.makers = makers or []
+        self.result_holders = result_holders or []
         self.kept_ = PromptCache(memory_tokens=memory_tokens)
 
     def make_replacement(self) -> "EngineStandIn":
@@ -76,12 +76,12 @@
         replacement = EngineStandIn(
             events=self.events,
             requires_inputs=self.requires_inputs,
-            makers=self.makers,
+            result_holders=self.result_holders,
             service=self.service,
             hall=self.hall,
         )
         replacement.pause_s = self.pause_s
-        replacement.ends_on_ = self.ends_on_
+        replacement.crash_bodies_ = self.crash_bodies_
         return replacement
 
     def event(self, number: int, request: HTTPServerRequest) -> str:
@@ -96,7 +96,9 @@
             return
         handles = [h for h in request.headers.get("X-Inputs", "").split(",") if h]
         is_gone = handler.misbehaviour is Misbehaviour.GONE
-        if is_gone or not all(is_held(handle, self.makers) for handle in handles):
+        if is_gone or not all(
+            is_held(handle, self.result_holders) for handle in handles
+        ):
             handler.refuse(409)
             return
         handler.record_run()
--- a/packages/leadford-standins/src/leadford_standins/wire/_scenarios.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_scenarios.py
@@ -19,7 +19,9 @@
 _EVENT_PATTERN = re.compile(rb"id: (\d+)\ndata: token \1\n\n")
 
 
-def play(scenario: Callable[[Deployment], Awaitable[None]], **fields: object) -> None:
+def run_scenario(
+    scenario: Callable[[Deployment], Awaitable[None]], **fields: object
+) -> None:
     """Run a scenario on a new deployment; `fields` are arguments of `Deployment`."""
 
     async def main() -> None:
@@ -29,7 +31,7 @@
     asyncio.run(asyncio.wait_for(main(), SCENARIO_TIMEOUT_S))
 
 
-def turn_away(entry: ForwardProcess) -> None:
+def refuse_store_calls(entry: ForwardProcess) -> None:
     """Make every further call of an entry to the store fail.
 
     A watch that is already open still ends with the store's answer.
--- a/packages/leadford-standins/src/leadford_standins/wire/_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/_store.py
@@ -76,7 +76,7 @@
         self.changed_ = asyncio.Event()
         self.fault = StoreFault.NONE
         self.slow_s = 1.0
-        self.has_deaf_watches = False
+        self.leaves_watches_unanswered = False
         # Seconds over which the body of an answer about a kind is sent.
         self.body_s_by_kind: dict[str, float] = {}
         self.delete_s = 0.0
@@ -141,7 +141,7 @@
         self._notify_watches()
         return before
 
-    def write_again(
+    def rewrite_lost_objects(
         self, before: StoreCopy, held: StoreCopy, kinds: Iterable[str]
     ) -> None:
         """Repeat the writes to kinds that a restoration from a copy has lost.
@@ -237,7 +237,7 @@
         wait_s = int(self.get_query_argument("waitMs", "1000")) / 1_000.0
         deadline = asyncio.get_running_loop().time() + wait_s
         while True:
-            while self.store.has_deaf_watches:
+            while self.store.leaves_watches_unanswered:
                 await asyncio.sleep(SILENT_WATCH_POLL_INTERVAL_S)
             changed = self.store.changed_
             events = self.store.events_after(kind, revision)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_backpressure.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_backpressure.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from leadford_standins.wire import play
+from leadford_standins.wire import run_scenario
 
 # In any window an endpoint may get `LIMIT_FACTOR` times what its limit allows, and
 # `LIMIT_SLACK_COUNT` requests more.
@@ -75,7 +75,7 @@
         await deployment.until_linked()
         group = deployment.plain if path.startswith("/safe") else deployment.engines
         limited = group[0]
-        limited.says_["Server-Limit"] = str(limit_per_s)
+        limited.extra_headers_["Server-Limit"] = str(limit_per_s)
         await send_until_all_know(deployment, path, limited)
         began_at = now()
         statuses = await send_load(
@@ -85,7 +85,7 @@
         max_requests = max_requests_in_window(limited, began_at + ENFORCED_AFTER_S)
         assert 1 <= max_requests <= allowed_requests(limit_per_s)
 
-    play(scenario, entries=5)
+    run_scenario(scenario, entries=5)
 
 
 def test_calls_for_pieces_and_releases_keep_to_a_limit():
@@ -94,7 +94,7 @@
     async def scenario(deployment):
         await deployment.until_linked()
         limited = deployment.stage[0]
-        limited.says_["Server-Limit"] = str(limit_per_s)
+        limited.extra_headers_["Server-Limit"] = str(limit_per_s)
         await send_until_all_know(deployment, "/once/x", limited)
         began_at = now()
         await send_load(
@@ -106,20 +106,20 @@
         max_requests = max_requests_in_window(limited, began_at + ENFORCED_AFTER_S)
         assert 1 <= max_requests <= allowed_requests(limit_per_s)
 
-    play(scenario, entries=3)
+    run_scenario(scenario, entries=3)
 
 
 def test_entries_tell_each_other_of_a_limit_and_of_its_end():
     async def scenario(deployment):
         limited = deployment.plain[0]
         await deployment.until_linked()
-        limited.says_["Server-Limit"] = "50"
+        limited.extra_headers_["Server-Limit"] = "50"
         while not knows_limit(deployment.entries_[0], limited):
             await deployment.send("/safe/x", request_id=f"a{now()}")
         await deployment.until(
             lambda: all(knows_limit(entry, limited) for entry in deployment.entries_)
         )
-        del limited.says_["Server-Limit"]
+        del limited.extra_headers_["Server-Limit"]
         while knows_limit(deployment.entries_[0], limited):
             await deployment.send("/safe/x", request_id=f"b{now()}")
         await deployment.until(
@@ -128,14 +128,14 @@
             )
         )
 
-    play(scenario, entries=3)
+    run_scenario(scenario, entries=3)
 
 
 def test_callers_are_told_when_limited_endpoints_take_a_request_again():
     async def scenario(deployment):
         for endpoint in deployment.plain:
             # The minimum for each endpoint is one request in 4 s.
-            endpoint.says_["Server-Limit"] = "0"
+            endpoint.extra_headers_["Server-Limit"] = "0"
         (entry,) = deployment.entries_
         while not all(knows_limit(entry, endpoint) for endpoint in deployment.plain):
             await send_load(deployment, "/safe/x", duration_s=0.05)
@@ -149,31 +149,31 @@
         answer = await deployment.send_with_retries("/safe/x", request_id="b")
         assert answer.code == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_waits_for_an_endpoint_that_takes_one_again_soon():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            endpoint.says_["Server-Limit"] = "10"
+            endpoint.extra_headers_["Server-Limit"] = "10"
         codes = []
         for number in range(20):
             answer = await deployment.send("/safe/x", request_id=f"a{number}")
             codes.append(answer.code)
         assert set(codes) == {200}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stages_are_not_made_for_a_request_that_no_engine_takes_in_time():
     async def scenario(deployment):
         for engine in deployment.engines:
-            engine.says_["Server-Limit"] = "0.1"
+            engine.extra_headers_["Server-Limit"] = "0.1"
         for number in range(6):
             await deployment.send("/once/x", request_id=f"a{number}")
-        calls = sum(len(stage.calls_) for stage in deployment.stage)
+        calls = sum(len(stage.batch_sizes_) for stage in deployment.stage)
         answer = await deployment.send("/once/x", request_id="b", deadline_ms=1_000)
         assert answer.code == 503
-        assert sum(len(stage.calls_) for stage in deployment.stage) == calls
+        assert sum(len(stage.batch_sizes_) for stage in deployment.stage) == calls
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_closed_connections.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_closed_connections.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from leadford_standins.wire import play
+from leadford_standins.wire import run_scenario
 
 
 def close_connections_before_handling(entry):
@@ -44,4 +44,4 @@
         assert not any(stage.items_ for stage in deployment.stage)
         assert entry.caller_server_.pending_count == 0
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_crashing_requests.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_crashing_requests.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from leadford_standins.wire import event_ids, play
+from leadford_standins.wire import event_ids, run_scenario
 
 CRASHING_BODY = b"ends whoever runs it"
 # Endpoints that may crash before all entries know of the request.
@@ -72,7 +72,7 @@
         refused = {f"copy-{n}" for n, a in enumerate(answers) if a.code == 503}
         assert not ran_ids & refused
 
-    play(scenario, entries=entries, endpoints=6)
+    run_scenario(scenario, entries=entries, endpoints=6)
 
 
 def test_a_request_whose_pieces_end_their_endpoints_is_soon_sent_to_none():
@@ -90,7 +90,7 @@
         served = await asyncio.gather(*tasks)
         assert [answer.code for answer in served] == [200] * 60
 
-    play(scenario, entries=3, endpoints=6)
+    run_scenario(scenario, entries=3, endpoints=6)
 
 
 def test_requests_that_ran_beside_one_that_ends_endpoints_are_served():
@@ -109,7 +109,7 @@
         assert all(event_ids(answer.body) == [1, 2, 3, 4, 5] for answer in answers)
         assert len(deployment.crashed_endpoints_) <= MAX_CRASHES
 
-    play(scenario, entries=3, endpoints=6)
+    run_scenario(scenario, entries=3, endpoints=6)
 
 
 def test_an_entry_that_starts_later_knows_which_request_ends_endpoints():
@@ -125,7 +125,7 @@
         await send_copies(deployment, "/resumed/x", copy_count=6)
         assert crash_count == len(deployment.crashed_endpoints_) <= MAX_CRASHES
 
-    play(scenario, entries=3, endpoints=6)
+    run_scenario(scenario, entries=3, endpoints=6)
 
 
 def test_what_only_looks_like_a_request_that_ends_endpoints_is_served():
@@ -137,4 +137,4 @@
         )
         assert answer.code == 200
 
-    play(scenario, entries=3, endpoints=6)
+    run_scenario(scenario, entries=3, endpoints=6)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_endpoints_at_rest.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_endpoints_at_rest.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from leadford_standins.wire import Misbehaviour, play
+from leadford_standins.wire import Misbehaviour, run_scenario
 
 RETRY_AFTER_S = 2.0
 LONG_RETRY_AFTER_S = 30.0
@@ -27,8 +27,8 @@
 
 def refuse_with_retry_after(endpoint, retry_after_s=RETRY_AFTER_S):
     """Make an endpoint refuse all requests and send Retry-After."""
-    endpoint.next_.extend([Misbehaviour.REFUSE] * 1_000)
-    endpoint.says_["Retry-After"] = str(retry_after_s)
+    endpoint.planned_misbehaviours_.extend([Misbehaviour.REFUSE] * 1_000)
+    endpoint.extra_headers_["Retry-After"] = str(retry_after_s)
 
 
 async def send_load(deployment, path, *, request_count, interval_s):
@@ -74,7 +74,7 @@
         ]
         assert len(arrived) <= MAX_ARRIVALS
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_while_all_endpoints_rest_callers_are_told_when_that_ends():
@@ -91,7 +91,7 @@
         assert 3.0 < float(answer.headers["Retry-After"]) <= LONG_RETRY_AFTER_S
         assert sum(endpoint.arrivals_ for endpoint in deployment.plain) == arrivals
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoints_are_used_again_once_their_rest_is_over():
@@ -100,8 +100,8 @@
             refuse_with_retry_after(endpoint, 0.5)
         await send_until_retry_after_known(deployment, "/safe/x", deployment.plain)
         for endpoint in deployment.plain:
-            endpoint.next_.clear()
+            endpoint.planned_misbehaviours_.clear()
         answer = await deployment.send_with_retries("/safe/x", request_id="again")
         assert answer.code == 200
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_entries.py
@@ -4,7 +4,7 @@
 
 from leadford.forwarding.batching import GroupId, PlaceId
 from leadford.forwarding.routes import ServiceId
-from leadford_standins.wire import StoreFault, event_ids, play, runs_of
+from leadford_standins.wire import StoreFault, event_ids, run_scenario, runs_of
 
 
 def request_bytes(path, request_id):
@@ -39,7 +39,7 @@
             answer = await deployment.send("/safe/x", request_id="a", entry=number)
             assert answer.code == 200
 
-    play(scenario, entries=3)
+    run_scenario(scenario, entries=3)
 
 
 def test_pieces_of_a_lost_scheduler_are_made_elsewhere():
@@ -66,7 +66,7 @@
         for number in range(6):
             assert len(runs_of(deployment.engines, f"r{number}")) == 1
 
-    play(scenario, entries=2)
+    run_scenario(scenario, entries=2)
 
 
 def test_pieces_queued_before_entries_found_each_other_go_to_the_scheduler():
@@ -105,7 +105,7 @@
         scheduler = deployment.entries_[1 - number]
         assert group in scheduler.stages_.scheduler_.queues_by_group_
 
-    play(scenario, entries=2)
+    run_scenario(scenario, entries=2)
 
 
 def test_entries_that_list_different_endpoints_do_not_send_pieces_in_circles():
@@ -128,7 +128,7 @@
         deployment.store.put("servers", far.endpoint_id, far.spec())
         assert event_ids((await sent).body) == [1, 2, 3, 4, 5]
 
-    play(scenario, entries=2)
+    run_scenario(scenario, entries=2)
 
 
 def test_a_planned_stop_ends_what_runs_and_announces_itself_at_once():
@@ -147,7 +147,7 @@
         await stopping
         assert "entry-0" not in deployment.store.objects_by_kind_["leadford-entries"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_process_about_to_stop_begins_no_stream_that_it_would_cut():
@@ -163,7 +163,7 @@
         assert answer.code == 200
         await stopping
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_that_comes_while_a_stopping_entry_leaves_the_store_is_answered():
@@ -199,7 +199,7 @@
         assert b" 200 " in head
         writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_on_a_connection_whose_stream_ended_in_a_planned_stop_is_answered():
@@ -224,7 +224,7 @@
         writer.close()
         await stopping
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_planned_stop_waits_for_the_calls_that_it_makes_for_others():
@@ -277,7 +277,7 @@
         code = (await sent).code
         assert (code, len(runs_of(deployment.plain, "r1"))) in ((200, 1), (503, 0))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stopped_entry_reads_no_further_request():
@@ -299,7 +299,7 @@
             assert await reader.read() == b""
         assert runs_of(deployment.plain, "r1") == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_connection_accepted_as_an_entry_stops_is_not_read():
@@ -328,4 +328,4 @@
             assert await reader.read() == b""
         assert runs_of(deployment.plain, "r1") == []
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_evacuations.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_evacuations.py
@@ -4,7 +4,7 @@
 
 from leadford_server.forwarding.store import _follow
 from leadford_server.forwarding.store._halls import WATCH_FRACTION
-from leadford_standins.wire import StoreFault, play, turn_away
+from leadford_standins.wire import StoreFault, refuse_store_calls, run_scenario
 
 HALL = "hall-0"
 EVACUATE_S = 5.0
@@ -65,7 +65,7 @@
         assert set(await send_requests(deployment, "c", entries=entries)) == {200}
         assert request_ids_after(deployment, began_at)
 
-    play(scenario, entries=3, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, entries=3, evacuate_s=EVACUATE_S)
 
 
 def test_work_that_runs_in_a_hall_when_it_is_evacuated_ends_well():
@@ -81,7 +81,7 @@
         deployment.store.put("evacuations", HALL, {})
         assert set(await sent) == {200}
 
-    play(scenario, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, evacuate_s=EVACUATE_S)
 
 
 def test_an_entry_that_starts_during_an_evacuation_sends_nothing_there():
@@ -101,7 +101,7 @@
         assert {answer.code for answer in answers} <= {200, 503}
         assert request_ids_after(deployment, began_at) == []
 
-    play(scenario, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, evacuate_s=EVACUATE_S)
 
 
 def test_an_entry_that_the_store_turns_away_learns_of_evacuations_from_a_peer():
@@ -116,7 +116,7 @@
         deployment.store.delete("evacuations", HALL)
         await deployment.until(lambda: not knows_evacuation(second))
 
-    play(scenario, entries=2, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, entries=2, evacuate_s=EVACUATE_S)
 
 
 def test_an_entry_that_restarts_without_the_store_learns_of_evacuations_from_a_peer():
@@ -133,23 +133,23 @@
         await deployment.until(lambda: restarted.is_ready)
         assert knows_evacuation(restarted)
 
-    play(scenario, entries=2, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, entries=2, evacuate_s=EVACUATE_S)
 
 
 def test_a_watch_that_hears_nothing_is_over_within_the_bound():
     async def scenario(deployment):
         (entry,) = deployment.entries_
         # The watch that is open now gets no answer; later ones do.
-        deployment.store.has_deaf_watches = True
+        deployment.store.leaves_watches_unanswered = True
         began_at = now()
         deployment.store.put("evacuations", HALL, {})
         deployment.store.forget_history()
         await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
-        deployment.store.has_deaf_watches = False
+        deployment.store.leaves_watches_unanswered = False
         await deployment.until(lambda: knows_evacuation(entry))
         assert now() - began_at < EVACUATE_S
 
-    play(scenario, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, evacuate_s=EVACUATE_S)
 
 
 def test_endpoints_of_a_hall_that_is_given_back_count_as_cold():
@@ -174,7 +174,7 @@
         await asyncio.sleep(1.1)
         assert not entry.state_.roster_.record(cold.endpoint_id).is_cold(now())
 
-    play(scenario, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, evacuate_s=EVACUATE_S)
 
 
 def test_a_deployment_without_evacuations_does_not_ask_for_them():
@@ -185,7 +185,7 @@
         await asyncio.sleep(0.3)
         assert not knows_evacuation(entry)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 ENTRY_COUNT = 9
@@ -240,14 +240,14 @@
         )
         assert set(calling_entries) <= set(followers)
 
-    play(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
 
 
 def test_entries_that_rest_hear_of_an_evacuation_and_of_its_end():
     async def scenario(deployment):
         await wait_for_relays(deployment)
         for entry in passive_entries(deployment):
-            turn_away(entry)
+            refuse_store_calls(entry)
         deployment.store.put("evacuations", HALL, {})
         await deployment.until(lambda: all(map(knows_evacuation, deployment.entries_)))
         deployment.store.delete("evacuations", HALL)
@@ -255,7 +255,7 @@
             lambda: not any(map(knows_evacuation, deployment.entries_))
         )
 
-    play(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
 
 
 def test_entries_that_rest_ask_for_evacuations_once_those_that_follow_are_deaf():
@@ -263,7 +263,7 @@
         await wait_for_relays(deployment)
         followers = [e for e in deployment.entries_ if e.links_.relays.is_follower]
         for entry in followers:
-            turn_away(entry)
+            refuse_store_calls(entry)
         # Watches that are already open still end with the store's answer.
         await asyncio.sleep(WATCH_FRACTION * EVACUATE_S + 0.2)
         deployment.store.put("evacuations", HALL, {})
@@ -272,4 +272,4 @@
             timeout_s=EVACUATE_S,
         )
 
-    play(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
+    run_scenario(scenario, entries=ENTRY_COUNT, evacuate_s=EVACUATE_S)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_foreign_records.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_foreign_records.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from leadford_standins.wire import play
+from leadford_standins.wire import run_scenario
 
 VALID_SPEC = {
     "service": "plain",
@@ -59,11 +59,11 @@
         assert "foreign" not in records
         restarted = await deployment.restart_entry(0)
         await deployment.until(
-            lambda: restarted.is_ready and deployment.knows_all(restarted)
+            lambda: restarted.is_ready and deployment.knows_all_endpoints(restarted)
         )
         assert "foreign" not in restarted.state_.roster_.records_by_id_
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_endpoint_whose_record_cannot_be_read_any_more_is_not_used():
@@ -81,7 +81,7 @@
             await deployment.send("/safe/x", request_id=f"s{number}")
         assert len(first.runs_) > 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_endpoint_that_drained_and_starts_again_under_its_id_is_used():
@@ -100,7 +100,7 @@
             assert answer.code == 200
         assert len(first.runs_) > 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_news_of_an_earlier_start_end_no_later_one():
@@ -120,4 +120,4 @@
             assert answer.code == 200
         assert len(first.runs_) > 0
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_heartbeats.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from leadford.protocol import PROTOCOL_UNTOLD, EntryHeartbeat
-from leadford_standins.wire import play
+from leadford_standins.wire import run_scenario
 
 ENTRY_COUNT = 9
 # Heartbeats of each entry that are counted, and how many of them may be in flight when
@@ -92,7 +92,7 @@
             live = set(entry.links_.halls_by_live_entry())
             assert live == set(entry.links_.peers_by_id_)
 
-    play(scenario, entries=ENTRY_COUNT)
+    run_scenario(scenario, entries=ENTRY_COUNT)
 
 
 def test_an_older_build_gets_every_heartbeat():
@@ -124,7 +124,7 @@
         )
         assert min(sent.values()) >= HEARTBEAT_COUNT
 
-    play(scenario, entries=ENTRY_COUNT)
+    run_scenario(scenario, entries=ENTRY_COUNT)
 
 
 def test_entries_of_a_region_with_stages_hold_no_links_for_the_region_alone():
@@ -134,4 +134,4 @@
         for entry in deployment.entries_:
             assert len(entry.links_.fleet.peers_to_link()) <= 6
 
-    play(scenario, entries=ENTRY_COUNT)
+    run_scenario(scenario, entries=ENTRY_COUNT)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_large_configurations.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_large_configurations.py
@@ -24,7 +24,7 @@
 
 from leadford.protocol import ConfigPartAnswer, ForwardConfigAnswer
 from leadford_server.forwarding.store import _follow
-from leadford_standins.wire import play, turn_away
+from leadford_standins.wire import refuse_store_calls, run_scenario
 
 # Transfer time of a configuration: longer than the total timeout of a watch with its
 # largest margin.
@@ -47,14 +47,14 @@
             lambda: entry.state_.table_.config.version == 2, timeout_s=20.0
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_peer_is_asked_once_for_a_configuration_that_is_on_its_way(monkeypatch):
     async def scenario(deployment):
         first, second = deployment.entries_
         await deployment.until(lambda: second.links_.peers_by_id_)
-        turn_away(second)
+        refuse_store_calls(second)
         # The store still answers the pending watch.
         await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
         await deployment.until(lambda: first.links_.peers_by_id_)
@@ -75,4 +75,4 @@
         await deployment.until(lambda: second.state_.table_.config.version == 9)
         assert len(delayed) == 1
 
-    play(scenario, entries=2)
+    run_scenario(scenario, entries=2)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_leaving_endpoints.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_leaving_endpoints.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from leadford_standins.wire import StoreFault, play
+from leadford_standins.wire import StoreFault, run_scenario
 
 # Time after which a leaving endpoint receives no requests; the default of the bounds.
 DRAIN_S = 2.0
@@ -55,7 +55,7 @@
     async def scenario(deployment):
         deployment.store.fault = StoreFault.SILENT
         leaving = stand_ins(deployment, name)[0]
-        leaving.says_["Server-Leaving"] = "1"
+        leaving.extra_headers_["Server-Leaving"] = "1"
         await send_until_leaving_known(deployment, path, leaving)
         known_at = now()
         await asyncio.sleep(DRAIN_S)
@@ -63,13 +63,13 @@
         late_arrivals = [a for a in leaving.arrived_ if a.at_s > known_at + DRAIN_S]
         assert late_arrivals == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_listing_that_still_says_ready_does_not_bring_a_leaving_endpoint_back():
     async def scenario(deployment):
         leaving = deployment.plain[0]
-        leaving.says_["Server-Leaving"] = "1"
+        leaving.extra_headers_["Server-Leaving"] = "1"
         await send_until_leaving_known(deployment, "/safe/x", leaving)
         deployment.store.put("servers", leaving.endpoint_id, leaving.spec())
         await asyncio.sleep(0.3)
@@ -77,4 +77,4 @@
         assert await send_for(deployment, "/safe/x", 0.5) == {200}
         assert [a for a in leaving.arrived_ if a.at_s > began_at] == []
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_placing.py
@@ -12,7 +12,7 @@
 from leadford.forwarding.endpoints import PromptShape
 from leadford.forwarding.routes import ServiceId
 from leadford.protocol import PROTOCOL_UNTOLD
-from leadford_standins.wire import event_ids, play
+from leadford_standins.wire import event_ids, run_scenario
 
 ENTRIES = 9
 ENGINE = ServiceId("engine")
@@ -101,7 +101,7 @@
         # The placing entry was notified that each prompt was read.
         await deployment.until(lambda: not placed_by_id(deployment))
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_entries_that_were_held_up_still_know_who_places():
@@ -118,7 +118,7 @@
         assert answer.code == 200
         assert placed_total("placed") == before + 1
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 async def enable_cold_limits(deployment, per_s):
@@ -151,7 +151,7 @@
             assert answer.code == 200
         assert placed_total("placed") - before > len(others) / 2
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_a_cold_engine_gets_no_more_than_it_bears_where_streams_are_placed():
@@ -172,7 +172,7 @@
         assert len(cold.runs_) <= 3
         assert len(warm.runs_) >= len(answers) - 3
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_each_entry_chooses_by_itself_while_one_of_an_older_build_lives():
@@ -201,7 +201,7 @@
         peer.info = info
         await deployment.until(lambda: is_placed(service))
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_the_rule_holds_on_where_one_of_two_links_to_an_entry_ends():
@@ -221,7 +221,7 @@
         )
         await deployment.until(lambda: is_placed(service))
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_an_entry_that_is_told_nothing_chooses_by_itself():
@@ -244,7 +244,7 @@
         assert waiting == {}
         assert placed_total("no answer") == before + 1
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_streams_go_on_while_the_entry_that_places_is_lost():
@@ -261,4 +261,4 @@
         )
         assert [answer.code for answer in answers] == [200] * len(others)
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_plain.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_plain.py
@@ -2,42 +2,42 @@
 
 import pytest
 
-from leadford_standins.wire import Misbehaviour, play, runs_of
+from leadford_standins.wire import Misbehaviour, run_scenario, runs_of
 
 
 def test_an_unsafe_request_whose_answer_is_lost_runs_once_and_is_not_refused():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            endpoint.next_.append(Misbehaviour.LOSE_ANSWER)
+            endpoint.planned_misbehaviours_.append(Misbehaviour.LOSE_ANSWER)
         answer = await deployment.send("/unsafe/x", request_id="r1")
         assert answer.code == 502
         assert len(runs_of(deployment.plain, "r1")) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_unsafe_request_on_a_connection_that_went_stale_is_not_repeated():
     async def scenario(deployment):
         await deployment.send("/unsafe/x", request_id="r0")
         for endpoint in deployment.plain:
-            endpoint.next_ += [Misbehaviour.LOSE_ANSWER]
+            endpoint.planned_misbehaviours_ += [Misbehaviour.LOSE_ANSWER]
         answer = await deployment.send("/unsafe/x", request_id="r1")
         assert answer.code == 502
         assert len(runs_of(deployment.plain, "r1")) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_refusal_that_says_not_run_is_true_and_says_when_to_come_back():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            endpoint.next_.append(Misbehaviour.REFUSE)
+            endpoint.planned_misbehaviours_.append(Misbehaviour.REFUSE)
         answer = await deployment.send("/unsafe/x", request_id="r1")
         assert answer.code == 503
         assert float(answer.headers["Retry-After"]) > 0.0
         assert runs_of(deployment.plain, "r1") == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -54,51 +54,51 @@
     async def scenario(deployment):
         # The entry first tries the endpoint of its own hall.
         first, second = deployment.plain
-        first.next_.append(misbehaviour)
+        first.planned_misbehaviours_.append(misbehaviour)
         answer = await deployment.send("/safe/x", request_id="r1", method="GET")
         assert answer.code == 200
         assert answer.headers["X-Attempt-Id"] == "r1"
         assert answer.headers["X-Server-Stamp"] == f"stamp.{second.endpoint_id}"
         assert (first.arrivals_, second.arrivals_) == (1, 1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_failure_of_an_endpoint_is_passed_on_with_its_signature():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            endpoint.next_.append(Misbehaviour.FAIL)
+            endpoint.planned_misbehaviours_.append(Misbehaviour.FAIL)
         answer = await deployment.send("/unsafe/x", request_id="r1")
         assert (answer.code, answer.body) == (500, b"failed")
         assert "X-Server-Stamp" in answer.headers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_success_that_its_endpoint_did_not_sign_is_not_passed_on():
     async def scenario(deployment):
         for endpoint in deployment.plain:
-            endpoint.next_.append(Misbehaviour.UNSIGNED)
+            endpoint.planned_misbehaviours_.append(Misbehaviour.UNSIGNED)
         answer = await deployment.send("/unsafe/x", request_id="r1")
         assert answer.code == 502
         answer = await deployment.send("/safe/x", request_id="r2", method="GET")
         assert answer.code == 200
         assert "X-Server-Stamp" in answer.headers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_safe_request_does_not_wait_long_for_a_slow_endpoint():
     async def scenario(deployment):
         for number in range(8):
             await deployment.send("/safe/x", request_id=f"w{number}", method="GET")
-        deployment.plain[0].next_.append(Misbehaviour.HANG)
+        deployment.plain[0].planned_misbehaviours_.append(Misbehaviour.HANG)
         answer = await deployment.send("/safe/x", request_id="r1", method="GET")
         assert answer.code == 200
         assert answer.request_time < 1.0
         assert len(runs_of(deployment.plain, "r1")) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_safe_request_is_not_broken_off_where_no_other_endpoint_is_left():
@@ -119,4 +119,4 @@
         assert answer.code == 200
         assert len(runs_of(deployment.plain, "r1")) == 1
 
-    play(scenario, endpoints=1)
+    run_scenario(scenario, endpoints=1)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_relayed_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_relayed_store.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from leadford_standins.wire import play, turn_away
+from leadford_standins.wire import refuse_store_calls, run_scenario
 
 ENTRIES = 9
 
@@ -33,7 +33,7 @@
         await wait_until_followers_known(deployment)
         assert len(non_followers(deployment)) == ENTRIES - 2
         for entry in non_followers(deployment):
-            turn_away(entry)
+            refuse_store_calls(entry)
         gone = deployment.plain[0].endpoint_id
         deployment.store.delete("servers", gone)
         await deployment.until(
@@ -50,7 +50,7 @@
             )
         )
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_entries_that_rest_ask_the_store_once_those_that_follow_are_deaf():
@@ -58,7 +58,7 @@
         await wait_until_followers_known(deployment)
         for entry in deployment.entries_:
             if entry.links_.relays.is_follower:
-                turn_away(entry)
+                refuse_store_calls(entry)
         # The store still answers pending watches.
         await asyncio.sleep(2.0)
         gone = deployment.plain[0].endpoint_id
@@ -70,4 +70,4 @@
             )
         )
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_requests.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_requests.py
@@ -6,8 +6,8 @@
     Misbehaviour,
     StoreFault,
     event_ids,
-    play,
-    run_calm,
+    run_scenario,
+    run_without_faults,
     runs_of,
 )
 
@@ -29,7 +29,7 @@
             answer = await deployment.send(path, request_id=path)
             assert event_ids(answer.body) == [1, 2, 3, 4, 5]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_caller_that_is_refused_and_returns_is_served():
@@ -37,14 +37,14 @@
         refused = await deployment.send("/unsafe/x", request_id="r0", deadline_ms=2_000)
         assert refused.code == 200
         for endpoint in deployment.plain:
-            endpoint.next_.append(Misbehaviour.REFUSE)
-            endpoint.next_.append(Misbehaviour.REFUSE)
+            endpoint.planned_misbehaviours_.append(Misbehaviour.REFUSE)
+            endpoint.planned_misbehaviours_.append(Misbehaviour.REFUSE)
         answer = await deployment.send_with_retries("/unsafe/x", request_id="r1")
         assert answer.code == 200
         runs = [run for endpoint in deployment.plain for run in endpoint.runs_]
         assert len(runs) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unknown_routes_and_keys_are_denied_and_never_before_a_configuration():
@@ -61,7 +61,7 @@
         assert answer.code == 503
         assert deployment.entries_[1].is_ready is False
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_gets_its_final_answer_by_the_timeout_of_its_route():
@@ -72,12 +72,12 @@
         entry = deployment.entries_[0]
         await deployment.until(lambda: entry.state_.table_.config.version == 2)
         for endpoint in deployment.plain:
-            endpoint.next_.append(Misbehaviour.HANG)
+            endpoint.planned_misbehaviours_.append(Misbehaviour.HANG)
         answer = await deployment.send("/unsafe/x", request_id="r1")
         assert answer.code == 504
         assert answer.request_time < 1.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_caller_that_leaves_ends_the_work_for_it():
@@ -95,7 +95,7 @@
         sent.cancel()
         assert deployment.entries_[0].stages_.sent.sent_by_id_ == {}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_malformed_requests_get_a_clear_answer():
@@ -108,7 +108,7 @@
         assert answer.code == 400
         assert (await deployment.send("/safe/x", request_id="r3")).code == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def exchange_bytes(entry, request):
@@ -144,8 +144,8 @@
         whole = await deployment.send("/unsafe/x", request_id="r3", body=b"b" * 1_000)
         assert whole.code == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_calm_stretch_breaks_no_promise():
-    assert run_calm(duration_s=1.0) == 0
+    assert run_without_faults(duration_s=1.0) == 0
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_restored_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_restored_store.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from leadford_standins.wire import StoreFault, play
+from leadford_standins.wire import StoreFault, run_scenario
 
 ENTRIES = 9
 
@@ -60,7 +60,7 @@
             lambda: all(leaving.endpoint_id in r.leaving_ids_ for r in rosters)
         )
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_entries_that_a_restored_store_has_lost_are_listed_again():
@@ -76,7 +76,7 @@
         known = [e.links_.fleet.entry_count() for e in deployment.entries_]
         assert known == [ENTRIES] * ENTRIES
 
-    play(scenario, entries=ENTRIES)
+    run_scenario(scenario, entries=ENTRIES)
 
 
 def test_a_configuration_that_a_restored_store_has_lost_stays_in_force():
@@ -92,4 +92,4 @@
         answer = await deployment.send("/safe/x", request_id="a", key="key-2")
         assert answer.code == 200
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_silent_connections.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_silent_connections.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from leadford_standins.wire import play
+from leadford_standins.wire import run_scenario
 
 
 class SilenceableProxy:
@@ -72,7 +72,7 @@
             lambda: are_replaced() and have_live_peers() == [True, True]
         )
 
-    play(scenario, entries=0)
+    run_scenario(scenario, entries=0)
 
 
 def test_an_entry_whose_connections_to_the_store_go_silent_hears_of_changes_soon():
@@ -91,7 +91,7 @@
         )
         assert proxy.opened_ > opened
 
-    play(scenario, entries=0)
+    run_scenario(scenario, entries=0)
 
 
 def test_a_safe_request_on_a_connection_that_went_silent_is_answered_elsewhere():
@@ -122,4 +122,4 @@
             )
             assert answer.code == 200
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_stages.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_stages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leadford_standins.wire import Misbehaviour, event_ids, play, runs_of
+from leadford_standins.wire import Misbehaviour, event_ids, run_scenario, runs_of
 
 
 def test_pieces_get_their_own_inputs_and_results_are_released():
@@ -23,19 +23,19 @@
             second = made[name, 1, 0]
             assert len(second["inputs"]) == 2 and "privateKey" not in second
         # Calls batched pieces of several requests.
-        assert max(max(stage.calls_) for stage in deployment.stage) > 2
+        assert max(max(stage.batch_sizes_) for stage in deployment.stage) > 2
         await deployment.until(
             lambda: not any(stage.results_ for stage in deployment.stage)
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("entry", [0, 1])
 def test_inputs_are_released_while_the_call_that_reads_them_runs(entry):
     async def scenario(deployment):
         # An entry cancels calls that last much longer than the configuration says.
-        await deployment.declare_call_ms(250.0)
+        await deployment.configure_call_ms(250.0)
         for stage in deployment.stage:
             stage.call_s = 0.25
         # Load reports are available after the first request.
@@ -50,28 +50,28 @@
             lambda: not any(stage.results_ for stage in deployment.stage)
         )
 
-    play(scenario, entries=2)
+    run_scenario(scenario, entries=2)
 
 
 def test_inputs_that_are_gone_are_made_again():
     async def scenario(deployment):
         for engine in deployment.engines:
-            engine.next_.append(Misbehaviour.GONE)
+            engine.planned_misbehaviours_.append(Misbehaviour.GONE)
         answer = await deployment.send("/once/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
         assert len(runs_of(deployment.engines, "r1")) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_pieces_whose_inputs_are_gone_are_made_again():
     async def scenario(deployment):
         for stage in deployment.stage:
-            stage.next_ += [Misbehaviour.NONE, Misbehaviour.GONE]
+            stage.planned_misbehaviours_ += [Misbehaviour.NONE, Misbehaviour.GONE]
         answer = await deployment.send("/once/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
 
-    play(scenario, endpoints=1)
+    run_scenario(scenario, endpoints=1)
 
 
 @pytest.mark.parametrize(
@@ -79,21 +79,21 @@
 )
 def test_a_call_for_pieces_that_fails_is_made_again(misbehaviour):
     async def scenario(deployment):
-        deployment.stage[0].next_.append(misbehaviour)
+        deployment.stage[0].planned_misbehaviours_.append(misbehaviour)
         for number in range(3):
             answer = await deployment.send("/once/x", request_id=f"r{number}")
             assert event_ids(answer.body) == [1, 2, 3, 4, 5]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_piece_that_failed_at_the_only_endpoint_is_made_there_again():
     async def scenario(deployment):
-        deployment.stage[0].next_.append(Misbehaviour.FAIL)
+        deployment.stage[0].planned_misbehaviours_.append(Misbehaviour.FAIL)
         answer = await deployment.send("/once/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
 
-    play(scenario, endpoints=1)
+    run_scenario(scenario, endpoints=1)
 
 
 def test_a_call_that_waits_for_a_connection_does_not_follow_an_endpoint_that_left():
@@ -128,4 +128,4 @@
         assert event_ids((await second).body) == [1, 2, 3, 4, 5]
         assert [item for item in leaving.items_ if item["id"] == "r2"] == []
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_stop_writes_out.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_stop_writes_out.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from leadford_standins.wire import play
+from leadford_standins.wire import run_scenario
 
 # More than the kernel buffers for a caller with a small receive window.
 BODY_BYTES = 8 * 1024 * 1024
@@ -67,7 +67,7 @@
         sock.close()
         assert unsent == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def drain_after(entry, wait_s):
@@ -82,7 +82,7 @@
     async def scenario(deployment):
         for route in deployment.config["routes"]:
             route["timeoutMs"] = 20_000
-        await deployment.declare_call_ms(20.0)
+        await deployment.configure_call_ms(20.0)
         for stage in deployment.stage:
             # Its pieces wait for room, and nothing reports that they will not run.
             stage.room = 0
@@ -94,4 +94,4 @@
         assert answer.code == 503
         assert not any(engine.runs_ for engine in deployment.engines)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_store.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_store.py
@@ -10,7 +10,13 @@
 import pytest
 
 from leadford_server.forwarding.store import _follow
-from leadford_standins.wire import StoreFault, event_ids, play, runs_of, turn_away
+from leadford_standins.wire import (
+    StoreFault,
+    event_ids,
+    refuse_store_calls,
+    run_scenario,
+    runs_of,
+)
 
 
 def test_a_configuration_comes_in_force_and_never_goes_back():
@@ -30,7 +36,7 @@
         await asyncio.sleep(0.3)
         assert entry.state_.table_.config.version == 5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_store_that_forgets_every_endpoint_does_not_stop_requests():
@@ -46,7 +52,7 @@
         assert answer.code == 503
         assert runs_of(deployment.plain, "r2") == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoints_that_go_and_come_back_in_one_answer_of_the_store_are_used():
@@ -58,11 +64,11 @@
         for endpoint in deployment.all_endpoints():
             deployment.store.put("servers", endpoint.endpoint_id, endpoint.spec())
         await asyncio.sleep(1.5)
-        assert deployment.knows_all(entry)
+        assert deployment.knows_all_endpoints(entry)
         answer = await deployment.send("/resumed/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_draining_endpoint_gets_nothing_new():
@@ -75,7 +81,7 @@
             await deployment.send("/safe/x", request_id=f"r{number}", method="GET")
         assert leaving.arrivals_ == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_that_waits_for_a_connection_does_not_follow_an_endpoint_that_left():
@@ -109,7 +115,7 @@
         assert runs_of([leaving], "r2") == []
         assert len(runs_of([other], "r2")) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("fault", [StoreFault.BUSY, StoreFault.RESET])
@@ -125,16 +131,16 @@
         entry = deployment.entries_[0]
         await deployment.until(lambda: entry.state_.table_.config.version == 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_watches_that_hear_nothing_do_not_hold_up_a_configuration():
     async def scenario(deployment):
         entry = deployment.entries_[0]
         # The store answers no watch while this is set.
-        deployment.store.has_deaf_watches = True
+        deployment.store.leaves_watches_unanswered = True
         await asyncio.sleep(_follow.WATCH_MAX_S + 0.2)
-        deployment.store.has_deaf_watches = False
+        deployment.store.leaves_watches_unanswered = False
         deployment.config["version"] = 2
         deployment.put_config()
         deployment.store.forget_history()
@@ -142,14 +148,14 @@
             lambda: entry.state_.table_.config.version == 2, timeout_s=3.0
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_entry_that_the_store_turns_away_follows_its_peers():
     async def scenario(deployment):
         first, second = deployment.entries_
         await deployment.until(lambda: second.links_.peers_by_id_)
-        turn_away(second)
+        refuse_store_calls(second)
         leaving = deployment.plain[0]
         deployment.config["version"] = 9
         deployment.config["tenants"][0]["apiKeys"] = ["key-2"]
@@ -160,7 +166,7 @@
         assert answer.code in (401, 503)
         await deployment.until(lambda: len(second.state_.usable("plain")) == 1)
 
-    play(scenario, entries=2)
+    run_scenario(scenario, entries=2)
 
 
 def test_changes_that_follow_each_other_end_few_watches():
@@ -177,4 +183,4 @@
         )
         assert deployment.store.calls_ - before < 10
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_streams.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_streams.py
@@ -1,13 +1,13 @@
 """Deliver streams complete, once and in order, or end them visibly incomplete."""
 
-from leadford_standins.wire import Misbehaviour, event_ids, play, runs_of
+from leadford_standins.wire import Misbehaviour, event_ids, run_scenario, runs_of
 
 
 def test_a_broken_stream_goes_on_elsewhere_without_gap_or_double():
     async def scenario(deployment):
         await deployment.send("/resumed/x", request_id="r0")
         used, other = sorted(deployment.engines, key=lambda e: -len(e.runs_))
-        used.next_.append(Misbehaviour.CUT)
+        used.planned_misbehaviours_.append(Misbehaviour.CUT)
         answer = await deployment.send("/resumed/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
         # The head of the answer stays that of the first engine.
@@ -15,53 +15,53 @@
         assert [run.headers.get("Last-Event-Id") for run in other.runs_] == ["2"]
         assert other.runs_[0].headers["X-Expect-Version"] == "1"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stream_that_falls_silent_goes_on_elsewhere_and_ends_where_it_was():
     async def scenario(deployment):
         await deployment.send("/resumed/x", request_id="r0")
         used, other = sorted(deployment.engines, key=lambda e: -len(e.runs_))
-        used.next_.append(Misbehaviour.STALL)
+        used.planned_misbehaviours_.append(Misbehaviour.STALL)
         answer = await deployment.send("/resumed/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
         assert [run.headers.get("Last-Event-Id") for run in other.runs_] == ["2"]
         assert used.left_early_ == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stream_that_never_begins_begins_elsewhere():
     async def scenario(deployment):
         await deployment.send("/resumed/x", request_id="r0")
         used, other = sorted(deployment.engines, key=lambda e: -len(e.runs_))
-        used.next_.append(Misbehaviour.HANG)
+        used.planned_misbehaviours_.append(Misbehaviour.HANG)
         answer = await deployment.send("/resumed/x", request_id="r1")
         assert event_ids(answer.body) == [1, 2, 3, 4, 5]
         assert len(other.runs_) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stream_that_breaks_at_every_engine_never_looks_complete():
     async def scenario(deployment):
         for engine in deployment.engines:
-            engine.next_.append(Misbehaviour.CUT)
+            engine.planned_misbehaviours_.append(Misbehaviour.CUT)
         answer = await deployment.send("/resumed/x", request_id="r1")
         assert answer.code == 599
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stream_that_may_not_be_resumed_never_looks_complete():
     async def scenario(deployment):
         for engine in deployment.engines:
-            engine.next_.append(Misbehaviour.CUT)
+            engine.planned_misbehaviours_.append(Misbehaviour.CUT)
         answer = await deployment.send("/once/x", request_id="r1")
         assert answer.code == 599
         assert len(runs_of(deployment.engines, "r1")) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_prompts_of_a_template_go_to_the_same_engines_from_all_entries():
@@ -82,7 +82,7 @@
         # The template once at each engine, each session once, each request's own part.
         assert sum(parts.read_tokens_ for parts in kept) <= 2 * 2_000 + 3_200 + 4_800
 
-    play(scenario, entries=2, endpoints=6)
+    run_scenario(scenario, entries=2, endpoints=6)
 
 
 def test_a_silent_stream_is_waited_for_where_no_other_engine_is_left():
@@ -95,4 +95,4 @@
         assert event_ids(answer.body) == [1, 2]
         assert len(engine.runs_) == 1
 
-    play(scenario, endpoints=1)
+    run_scenario(scenario, endpoints=1)
--- a/packages/leadford-standins/src/leadford_standins/wire/tests/test_suspended_hosts.py
+++ b/packages/leadford-standins/src/leadford_standins/wire/tests/test_suspended_hosts.py
@@ -39,7 +39,7 @@
 def test_a_request_whose_time_passed_during_a_suspension_ends_at_once():
     async def scenario(deployment, clock):
         for endpoint in deployment.plain:
-            endpoint.next_.extend([Misbehaviour.HANG] * 4)
+            endpoint.planned_misbehaviours_.extend([Misbehaviour.HANG] * 4)
         sending = asyncio.ensure_future(
             deployment.send("/unsafe/x", request_id="r", deadline_ms=9_000)
         )
