--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -196,7 +196,7 @@
     sizes = [1000, 10_000, 40_000]
 
     def log_of(size: int) -> ClaimLog:
-        log = ClaimLog(shard=0, ring=256, retention_s=3600.0)
+        log = ClaimLog(shard=0, slot_count=256, retention_s=3600.0)
         log.record_read(0, SlotView(0, None), 0.0)
         ids = {f"k{n:032x}": f"{n:016x}" for n in range(size)}
         log._record_tail(SlotView(1, ClaimSlot(0, (ClaimBatch("b", 0.0, ids),))))
--- a/packages/leadford-server/src/leadford_server/forwarding/_process.py
+++ b/packages/leadford-server/src/leadford_server/forwarding/_process.py
@@ -48,7 +48,7 @@
 from leadford_server.logs import EventLog
 
 # Time between checks for requests under way during a planned stop.
-DRAIN_POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 # Time between sweeps of connections and records.
 SWEEP_INTERVAL_S = 0.5
 # Requests still under way are ended this long before the end of a planned stop, so that
@@ -350,7 +350,7 @@
         while loop.time() < ends_at:
             if may_stop(loop.time() - began_at, self._live_count()):
                 return
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def _live_count(self) -> int:
         """Return how many requests and calls for pieces of any entry are under way."""
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_feeder.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from leadford.pipelines.results import KeptResult, ResultStore
+from leadford.pipelines.results import AttemptResult, ResultStore
 from leadford.protocol import Attach, Credit, Done, NotHeld, TokenPart, Tokens
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.agent._adapters import attempt_key
@@ -27,7 +27,7 @@
         self.dirty_keys_: dict[str, None] = {}
         self.flush_timer_: asyncio.TimerHandle | None = None
 
-    def on_tokens(self, kept: KeptResult, *, first: bool) -> None:
+    def on_tokens(self, kept: AttemptResult, *, first: bool) -> None:
         """Send the first tokens of a stream at once, others with the next batch."""
         self.dirty_keys_[kept.key] = None
         if first:
@@ -35,7 +35,7 @@
             return
         self._schedule()
 
-    def on_end(self, kept: KeptResult) -> None:
+    def on_end(self, kept: AttemptResult) -> None:
         """Send the end of an attempt at once."""
         self.dirty_keys_[kept.key] = None
         self.flush()
@@ -98,7 +98,7 @@
 
     def _gather(
         self,
-        kept: KeptResult,
+        kept: AttemptResult,
         parts_by_peer: dict[str, list[TokenPart]],
         ends_by_peer: dict[str, list[Done]],
     ) -> None:
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_models.py
@@ -64,7 +64,7 @@
     def accept_plan(self, order: PlanOrder) -> None:
         """Accept a plan, unless it is older than the current one."""
         wanted = frozenset(ModelCopy(held.model, held.version) for held in order.models)
-        if self.sequence.offer(order.fence, wanted):
+        if self.sequence.adopt_plan(order.fence, wanted):
             self.wake_.set()
 
     def held(self) -> list[HeldModel]:
@@ -76,7 +76,7 @@
     async def _run(self) -> None:
         await self._read_held_copies()
         while True:
-            step = self.sequence.next_step(self.held_copies_, boot_time())
+            step = self.sequence.next_order(self.held_copies_, boot_time())
             if step is not None:
                 await self._send_order(step)
                 await self._read_held_copies()
@@ -87,7 +87,7 @@
         """Wait for a plan, or for an interval if the current plan is not met."""
         self.wake_.clear()
         has_unmet_plan = (
-            self.sequence.wanted_ != self.held_copies_ and self.sequence.fence_
+            self.sequence.wanted_copies_ != self.held_copies_ and self.sequence.fence_
         )
         try:
             await asyncio.wait_for(
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_process.py
@@ -29,7 +29,7 @@
 
 # Interval between checks for attempts that still run while the agent drains, and the
 # maximum time that it waits for them.
-DRAIN_POLL_S = 0.02
+DRAIN_POLL_INTERVAL_S = 0.02
 DRAIN_MAX_S = 120.0
 # Maximum number of concurrent calls to the endpoint and the store.
 MAX_HTTP_CLIENTS = 512
@@ -200,7 +200,7 @@
             self.service_.drain()
             deadline_at = boot_time() + DRAIN_MAX_S
             while not self.service_.is_idle and boot_time() < deadline_at:
-                await asyncio.sleep(DRAIN_POLL_S)
+                await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         for peer in list(self.peers_):
             await peer.close()
         if self.model_loader_ is not None:
--- a/packages/leadford-server/src/leadford_server/pipelines/agent/_state.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/agent/_state.py
@@ -11,7 +11,7 @@
 from leadford.pipelines.admission import EndpointAdmission, Headroom
 from leadford.pipelines.config import FleetConfig, PoolConfig
 from leadford.pipelines.queues import QueuedAttempt, WorkspaceTerms, queue_policies
-from leadford.pipelines.results import KeptResult, ResultStore
+from leadford.pipelines.results import AttemptResult, ResultStore
 from leadford.protocol import Ack, Attach, Cancel, Credit, Submit
 from leadford_server.peers import PeerConnection
 from leadford_server.pipelines.agent._adapters import attempt_key
@@ -27,7 +27,7 @@
     """
 
     def __init__(
-        self, *, submit: Submit, item: QueuedAttempt, kept: KeptResult
+        self, *, submit: Submit, item: QueuedAttempt, kept: AttemptResult
     ) -> None:
         self.submit = submit
         self.item = item
--- a/packages/leadford-server/src/leadford_server/pipelines/config/_follower.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/config/_follower.py
@@ -124,7 +124,7 @@
             return True
         return False
 
-    async def take_head(self, stored: StoredHead) -> bool:
+    async def apply_head(self, stored: StoredHead) -> bool:
         """Apply a head that this process itself wrote."""
         return await self._apply_stored(stored, StoreSource(store=self.store))
 
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_attempts.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_attempts.py
@@ -111,9 +111,9 @@
         link = self.sender.choose()
         if link is None:
             return make_failure(FailureKind.NOT_SENT, RefusalReason.NO_ENDPOINT)
-        before = self.live.execution.effect_may_have_left_
+        before = self.live.execution.effect_may_have_started_
         if not self.sender.send(link):
-            self.live.execution.effect_may_have_left_ = before
+            self.live.execution.effect_may_have_started_ = before
             return make_failure(
                 FailureKind.NOT_SENT,
                 RefusalReason.ENDPOINT_LOST,
@@ -124,7 +124,9 @@
     async def take_over(self, note: Note) -> AttemptFailure | None:
         """Wait for an attempt that another process began."""
         endpoint_id = EndpointId(note.endpoint_id)
-        attempt = self.live.execution.adopt(note.stage, note.attempt, endpoint_id)
+        attempt = self.live.execution.register_attempt(
+            note.stage, note.attempt, endpoint_id
+        )
         link = self.live.services.directory.link(endpoint_id)
         if link is None or not await self._reach(link):
             return make_failure(
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_changes.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_changes.py
@@ -185,7 +185,7 @@
         if isinstance(read, Failure):
             return read
         stored = read.unwrap()
-        await self.follower.take_head(stored)
+        await self.follower.apply_head(stored)
         if self.follower.version != stored.head.version:
             return Failure(f"version {stored.head.version} cannot be read here")
         return read
@@ -219,7 +219,7 @@
         put = await self.store.put(HEAD_NAME, data, stored.object_version)
         if isinstance(put, Failure):
             return put.failure().kind
-        await self.follower.take_head(StoredHead(change.head, put.unwrap()))
+        await self.follower.apply_head(StoredHead(change.head, put.unwrap()))
         for key in change.dropped_keys:
             await self.store.delete(CHUNK_PREFIX + key)
         return None
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_claims.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_claims.py
@@ -14,7 +14,7 @@
 from leadford.common import EntryId, RequestId
 from leadford.pipelines.claims import (
     ClaimLog,
-    WritePace,
+    WriteRateLimiter,
     shard_of,
 )
 from leadford.pipelines.config import FleetConfig
@@ -116,10 +116,10 @@
             writer = ShardWriter(
                 log=ClaimLog(
                     shard=shard,
-                    ring=tuning.claim_ring,
+                    slot_count=tuning.claim_ring,
                     retention_s=tuning.claim_retention_s,
                 ),
-                pace=WritePace(rate_per_s=rate),
+                pace=WriteRateLimiter(rate_per_s=rate),
                 store=self.store,
                 events=self.events,
                 random=self.random,
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_process.py
@@ -54,7 +54,7 @@
 ANNOUNCE_S = 0.5
 # Seconds between looks at what still runs, and most seconds for which it is awaited;
 # neither was measured.
-DRAIN_POLL_S = 0.02
+DRAIN_POLL_INTERVAL_S = 0.02
 DRAIN_MAX_S = 120.0
 # Bytes of a head that are accepted.
 HEADER_BYTES_MAX = 16 * 1024
@@ -280,10 +280,10 @@
         while table.runs_by_id_ or table.answering_ > 0:
             if boot_time() >= limit:
                 break
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         self.web_.stop()
         # An answer that was just written is still in the hands of the loop.
-        await asyncio.sleep(DRAIN_POLL_S)
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         await self.web_.close_all_connections()
         self.follower_.stop()
         self.hosts_.stop()
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_sending.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_sending.py
@@ -103,7 +103,7 @@
             execution.end_attempt(attempt)
             return False
         self.live.links_by_number_[attempt.number] = link
-        execution.record_may_have_left()
+        execution.record_possible_send()
         streams = bool(stage.expected_tokens) and execution.is_final_stage
         if execution.is_final_stage:
             self.tokens.answer_.locator_ = f"{endpoint_id}/{attempt.number}"
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_settling.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_settling.py
@@ -146,7 +146,7 @@
             self.live.execution.end_attempt(attempt)
             kind = FailureKind.LOST
         else:
-            self.live.execution.record_proved_not_begun(attempt, effect_before)
+            self.live.execution.record_not_started(attempt, effect_before)
             kind = FailureKind.REFUSED
         reason = reason_of(refused.reason)
         self.live.trail.add(
--- a/packages/leadford-server/src/leadford_server/pipelines/entry/_shard_writer.py
+++ b/packages/leadford-server/src/leadford_server/pipelines/entry/_shard_writer.py
@@ -19,7 +19,7 @@
     ClaimBatch,
     ClaimLog,
     SlotView,
-    WritePace,
+    WriteRateLimiter,
     decode_slot,
 )
 from leadford.protocol import ClaimVerdict
@@ -51,7 +51,7 @@
         self,
         *,
         log: ClaimLog,
-        pace: WritePace,
+        pace: WriteRateLimiter,
         store: StoreClient,
         events: EventLog,
         random: Random,
@@ -99,7 +99,7 @@
         batch: list[PendingClaim] = []
         claim_id_by_request: dict[str, str] = {}
         for claim in taken:
-            holder = self.log.holder(claim.request_id)
+            holder = self.log.claim_id_of(claim.request_id)
             holder = holder or claim_id_by_request.get(claim.request_id)
             if holder is None:
                 claim_id_by_request[claim.request_id] = claim.claim_id
@@ -190,13 +190,13 @@
             return
         for claim in claims:
             # The log decides: the first claim of a key in it stands.
-            holder = self.log.holder(claim.request_id)
+            holder = self.log.claim_id_of(claim.request_id)
             self._answer([claim], self._verdict(holder or "", claim))
 
     def _drop_decided(self, claims: list[PendingClaim]) -> list[PendingClaim]:
         open_claims: list[PendingClaim] = []
         for claim in claims:
-            holder = self.log.holder(claim.request_id)
+            holder = self.log.claim_id_of(claim.request_id)
             if holder is None:
                 open_claims.append(claim)
                 continue
--- a/packages/leadford/src/leadford/pipelines/claims/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/claims/__init__.py
@@ -10,7 +10,7 @@
     SlotView,
     decode_slot,
 )
-from leadford.pipelines.claims._pace import WritePace
+from leadford.pipelines.claims._pace import WriteRateLimiter
 
 __all__ = [
     "ClaimBatch",
@@ -19,7 +19,7 @@
     "ClaimWrite",
     "ClaimsFullError",
     "SlotView",
-    "WritePace",
+    "WriteRateLimiter",
     "decode_slot",
     "request_id_for_key",
     "shard_of",
--- a/packages/leadford/src/leadford/pipelines/claims/_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_log.py
@@ -87,9 +87,9 @@
     then writes. After a conflict or a lost answer it must read again.
     """
 
-    def __init__(self, *, shard: int, ring: int, retention_s: float) -> None:
+    def __init__(self, *, shard: int, slot_count: int, retention_s: float) -> None:
         self.shard = shard
-        self.ring = ring
+        self.slot_count = slot_count
         self.retention_s = retention_s
         self.claim_ids_by_request_: OrderedDict[str, str] = OrderedDict()
         self.claimed_at_: dict[str, float] = {}
@@ -97,14 +97,14 @@
         self.tail_position_ = 0
         self.tail_view_: SlotView | None = None
         self._search_low = 0
-        self._search_high = ring - 1
+        self._search_high = slot_count - 1
         self._search_lap: int | None = None
         self._backfill_position: int | None = None
         self._tail_found = False
 
     def slot_name(self, position: int) -> str:
         """Return the name of the store object that holds a position."""
-        return f"claims/{self.shard}/{position % self.ring}"
+        return f"claims/{self.shard}/{position % self.slot_count}"
 
     def wanted_position(self) -> int | None:
         """Return the position to read next, or None when the log is up to date."""
@@ -135,17 +135,19 @@
             if view.slot is None:
                 self._tail_found = True
                 return
-            self._search_lap = view.slot.position // self.ring
+            self._search_lap = view.slot.position // self.slot_count
         else:
             in_lap = view.slot is not None
-            in_lap = in_lap and view.slot.position // self.ring >= self._search_lap
+            in_lap = (
+                in_lap and view.slot.position // self.slot_count >= self._search_lap
+            )
             if in_lap:
                 self._search_low = position
             else:
                 self._search_high = position - 1
         if self._search_low >= self._search_high:
             self._tail_found = True
-            self.tail_position_ = self._search_lap * self.ring + self._search_low
+            self.tail_position_ = self._search_lap * self.slot_count + self._search_low
             if self.tail_position_ > 0:
                 self._backfill_position = self.tail_position_ - 1
 
@@ -157,7 +159,7 @@
             self._merge(slot)
             expired = now_s - slot.newest_at_s > self.retention_s + CLOCK_SKEW_S
         # More than one lap back, the ring leads to the tail again.
-        at_end = position == 0 or self.tail_position_ - position >= self.ring - 1
+        at_end = position == 0 or self.tail_position_ - position >= self.slot_count - 1
         self._backfill_position = None if expired or at_end else position - 1
 
     def _record_tail(self, view: SlotView) -> None:
@@ -184,7 +186,7 @@
                 self.claim_ids_by_request_.setdefault(request_id, claim_id)
                 self.claimed_at_.setdefault(request_id, batch.at_s)
 
-    def holder(self, request_id: RequestId) -> str | None:
+    def claim_id_of(self, request_id: RequestId) -> str | None:
         """Return the claim id that holds a request, or None if none is known."""
         return self.claim_ids_by_request_.get(request_id)
 
--- a/packages/leadford/src/leadford/pipelines/claims/_pace.py
+++ b/packages/leadford/src/leadford/pipelines/claims/_pace.py
@@ -16,7 +16,7 @@
 BACKOFF_FACTOR = 0.5
 
 
-class WritePace:
+class WriteRateLimiter:
     """Limit writes to a rate that falls after slow or failed answers and recovers.
 
     Units: rate_per_s is writes per second.
--- a/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
@@ -42,9 +42,9 @@
 class Writer:
     """Read and append one log in a store, one call at a time."""
 
-    def __init__(self, store, ring=8):
+    def __init__(self, store, slot_count=8):
         self.store = store
-        self.log = ClaimLog(shard=0, ring=ring, retention_s=RETENTION_S)
+        self.log = ClaimLog(shard=0, slot_count=slot_count, retention_s=RETENTION_S)
         self.batch_count = 0
 
     def catch_up(self, now_s):
@@ -59,7 +59,7 @@
         """Return whether the claim is granted."""
         for _ in range(10):
             self.catch_up(now_s)
-            holder = self.log.holder(request_id)
+            holder = self.log.claim_id_of(request_id)
             if holder is not None:
                 return holder == claim_id
             batch_id = f"{id(self)}-{self.batch_count}"
@@ -106,7 +106,7 @@
 
 def test_a_full_ring_refuses_until_its_claims_expire():
     store = FakeStore()
-    writer = Writer(store, ring=2)
+    writer = Writer(store, slot_count=2)
     for number in range(SLOT_CLAIMS_MAX * 2):
         assert writer.claim(f"k{number}", "a", 0.0)
     assert not writer.claim("one too many", "a", RETENTION_S)
@@ -115,13 +115,13 @@
 
 def test_a_writer_that_joins_reads_few_slots_and_knows_recent_claims():
     store = FakeStore()
-    old = Writer(store, ring=64)
+    old = Writer(store, slot_count=64)
     for number in range(SLOT_CLAIMS_MAX * 20):
         old.claim(f"k{number}", "a", float(number) / 10)
-    late = Writer(store, ring=64)
+    late = Writer(store, slot_count=64)
     now_s = SLOT_CLAIMS_MAX * 2.0
     assert late.catch_up(now_s) < 16
-    assert late.log.holder(f"k{SLOT_CLAIMS_MAX * 20 - 5}") == "a"
+    assert late.log.claim_id_of(f"k{SLOT_CLAIMS_MAX * 20 - 5}") == "a"
     assert not late.claim(f"k{SLOT_CLAIMS_MAX * 19}", "b", now_s)
 
 
@@ -136,7 +136,7 @@
 )
 def test_no_key_is_granted_twice_within_the_retention(steps, random):
     store = FakeStore()
-    writers = [Writer(store, ring=8) for _ in range(3)]
+    writers = [Writer(store, slot_count=8) for _ in range(3)]
     granted_at = {}
     now_s = 0.0
     for index, (writer_index, key, lost, pause_s) in enumerate(steps):
@@ -169,4 +169,4 @@
             granted.add(f"k{number}")
     fresh = Writer(store)
     fresh.catch_up(0.0)
-    assert all(fresh.log.holder(key) == f"c{key[1:]}" for key in granted)
+    assert all(fresh.log.claim_id_of(key) == f"c{key[1:]}" for key in granted)
--- a/packages/leadford/src/leadford/pipelines/execution/_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/_request.py
@@ -90,7 +90,7 @@
         self.sequences_by_number_: dict[AttemptNumber, int] = {}
         self.model_version_ = ""
         self.diverged_ = False
-        self.effect_may_have_left_ = False
+        self.effect_may_have_started_ = False
 
     @property
     def stage(self) -> StageConfig:
@@ -124,25 +124,27 @@
         self.tried_endpoints_.add(endpoint_id)
         return attempt
 
-    def adopt(self, stage: str, number: int, endpoint_id: EndpointId) -> Attempt:
+    def register_attempt(
+        self, stage: str, number: int, endpoint_id: EndpointId
+    ) -> Attempt:
         """Register an attempt that another process began as live."""
         names = [configured.name for configured in self.pipeline.stages]
         self.stage_index_ = names.index(stage)
         self.attempts_made_ = number
         attempt = Attempt(StageId(stage), AttemptNumber(number), endpoint_id, 0.0)
         self.live_by_number_[attempt.number] = attempt
-        self.record_may_have_left()
+        self.record_possible_send()
         return attempt
 
-    def record_may_have_left(self) -> None:
+    def record_possible_send(self) -> None:
         """Record that a byte of the current stage may have been sent."""
         if self.stage.effect or not self.stage.repeatable:
-            self.effect_may_have_left_ = True
+            self.effect_may_have_started_ = True
 
-    def record_proved_not_begun(self, attempt: Attempt, effect_before: bool) -> None:
-        """End a refused attempt and restore the `may have left` mark from before it."""
+    def record_not_started(self, attempt: Attempt, effect_before: bool) -> None:
+        """End a refused attempt and restore the earlier `effect_may_have_started_`."""
         self.end_attempt(attempt)
-        self.effect_may_have_left_ = effect_before
+        self.effect_may_have_started_ = effect_before
 
     def end_attempt(self, attempt: Attempt) -> None:
         """Mark an attempt as ended, so that its answers are no longer accepted."""
@@ -226,6 +228,6 @@
 
         `shown` says that the caller has received a part of the answer.
         """
-        if self.effect_may_have_left_ or shown:
+        if self.effect_may_have_started_ or shown:
             return Outcome.UNKNOWN
         return Outcome.NOT_RUN
--- a/packages/leadford/src/leadford/pipelines/execution/tests/test_request.py
+++ b/packages/leadford/src/leadford/pipelines/execution/tests/test_request.py
@@ -99,9 +99,9 @@
     execution = make_execution(stage)
     assert execution.failure_outcome(shown=False) is Outcome.NOT_RUN
     attempt = execution.begin(A, 0.0)
-    execution.record_may_have_left()
+    execution.record_possible_send()
     assert execution.failure_outcome(shown=False) is outcome
-    execution.record_proved_not_begun(attempt, effect_before=False)
+    execution.record_not_started(attempt, effect_before=False)
     assert execution.failure_outcome(shown=False) is Outcome.NOT_RUN
 
 
@@ -109,10 +109,10 @@
     effect = StageConfig(name="one", pool="p", repeatable=False, effect=True)
     execution = make_execution(effect, StageConfig(name="two", pool="p"))
     execution.begin(A, 0.0)
-    execution.record_may_have_left()
+    execution.record_possible_send()
     execution.advance(b"1")
     attempt = execution.begin(B, 0.0)
-    execution.record_proved_not_begun(attempt, execution.effect_may_have_left_)
+    execution.record_not_started(attempt, execution.effect_may_have_started_)
     assert execution.failure_outcome(shown=False) is Outcome.UNKNOWN
 
 
--- a/packages/leadford/src/leadford/pipelines/placement/_orders.py
+++ b/packages/leadford/src/leadford/pipelines/placement/_orders.py
@@ -46,24 +46,26 @@
         self.checks_fences = checks_fences
         self.order_lifetime_s = order_lifetime_s
         self.fence_ = 0
-        self.wanted_: frozenset[ModelCopy] = frozenset()
+        self.wanted_copies_: frozenset[ModelCopy] = frozenset()
         self.in_doubt_until_by_model_: dict[str, float] = {}
 
-    def offer(self, fence: int, wanted: frozenset[ModelCopy]) -> bool:
+    def adopt_plan(self, fence: int, wanted: frozenset[ModelCopy]) -> bool:
         """Adopt a plan and return True, unless it is older than the current one."""
         if fence < self.fence_:
             return False
         self.fence_ = fence
-        self.wanted_ = wanted
+        self.wanted_copies_ = wanted
         return True
 
-    def next_step(self, holds: frozenset[ModelCopy], now: float) -> OrderStep | None:
+    def next_order(self, holds: frozenset[ModelCopy], now: float) -> OrderStep | None:
         """Return the next order for an engine that holds the given copies."""
         if not self.fence_:
             return None
         # Loads come first: a replacement must serve before the old copy is unloaded.
-        steps = [(OrderKind.LOAD, copy) for copy in sorted(self.wanted_ - holds)]
-        steps += [(OrderKind.UNLOAD, copy) for copy in sorted(holds - self.wanted_)]
+        steps = [(OrderKind.LOAD, copy) for copy in sorted(self.wanted_copies_ - holds)]
+        steps += [
+            (OrderKind.UNLOAD, copy) for copy in sorted(holds - self.wanted_copies_)
+        ]
         for kind, copy in steps:
             if now < self.in_doubt_until_by_model_.get(copy.model, 0.0):
                 continue
--- a/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
+++ b/packages/leadford/src/leadford/pipelines/placement/tests/test_placement.py
@@ -133,18 +133,18 @@
 
 def test_an_older_plan_is_not_obeyed():
     sequence = OrderSequence(checks_fences=True)
-    assert sequence.next_step(frozenset(), 0.0) is None
-    assert sequence.offer(5, frozenset({COPY}))
-    assert not sequence.offer(4, frozenset())
-    step = sequence.next_step(frozenset(), 0.0)
+    assert sequence.next_order(frozenset(), 0.0) is None
+    assert sequence.adopt_plan(5, frozenset({COPY}))
+    assert not sequence.adopt_plan(4, frozenset())
+    step = sequence.next_order(frozenset(), 0.0)
     assert (step.kind, step.copy, step.fence) == (OrderKind.LOAD, COPY, 5)
 
 
 def test_loads_go_before_unloads():
     sequence = OrderSequence(checks_fences=True)
-    sequence.offer(1, frozenset({COPY}))
-    assert sequence.next_step(frozenset({OTHER}), 0.0).kind is OrderKind.LOAD
-    assert sequence.next_step(frozenset({OTHER, COPY}), 0.0).kind is OrderKind.UNLOAD
+    sequence.adopt_plan(1, frozenset({COPY}))
+    assert sequence.next_order(frozenset({OTHER}), 0.0).kind is OrderKind.LOAD
+    assert sequence.next_order(frozenset({OTHER, COPY}), 0.0).kind is OrderKind.UNLOAD
 
 
 @pytest.mark.parametrize(("checks", "held_back"), [(True, False), (False, True)])
@@ -152,9 +152,9 @@
     checks, held_back
 ):
     sequence = OrderSequence(checks_fences=checks, order_lifetime_s=5.0)
-    sequence.offer(1, frozenset({COPY}))
-    sequence.record_lost(sequence.next_step(frozenset(), 0.0), 0.0)
-    sequence.offer(2, frozenset())
-    contrary = sequence.next_step(frozenset({COPY}), 1.0)
+    sequence.adopt_plan(1, frozenset({COPY}))
+    sequence.record_lost(sequence.next_order(frozenset(), 0.0), 0.0)
+    sequence.adopt_plan(2, frozenset())
+    contrary = sequence.next_order(frozenset({COPY}), 1.0)
     assert (contrary is None) is held_back
-    assert sequence.next_step(frozenset({COPY}), 6.0).kind is OrderKind.UNLOAD
+    assert sequence.next_order(frozenset({COPY}), 6.0).kind is OrderKind.UNLOAD
--- a/packages/leadford/src/leadford/pipelines/results/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/results/__init__.py
@@ -1,5 +1,5 @@
 """Keep the results of attempts in an agent until they are acknowledged."""
 
-from leadford.pipelines.results._kept import KeptResult, ResultStore, StreamCursor
+from leadford.pipelines.results._kept import AttemptResult, ResultStore, StreamCursor
 
-__all__ = ["KeptResult", "ResultStore", "StreamCursor"]
+__all__ = ["AttemptResult", "ResultStore", "StreamCursor"]
--- a/packages/leadford/src/leadford/pipelines/results/_kept.py
+++ b/packages/leadford/src/leadford/pipelines/results/_kept.py
@@ -24,7 +24,7 @@
         self.done_sent_ = False
 
 
-class KeptResult:
+class AttemptResult:
     """Hold the tokens and the final message of one attempt."""
 
     def __init__(self, *, key: str, workspace: str, started_at: float) -> None:
@@ -95,23 +95,23 @@
         self.retention_s = retention_s
         self.results_max = results_max
         self.bytes_max = bytes_max
-        self.results_by_key_: OrderedDict[str, KeptResult] = OrderedDict()
+        self.results_by_key_: OrderedDict[str, AttemptResult] = OrderedDict()
         self.ended_keys_: OrderedDict[str, float] = OrderedDict()
         self.ended_bytes_ = 0
 
-    def open(self, key: str, workspace: str, now: float) -> KeptResult | None:
+    def open(self, key: str, workspace: str, now: float) -> AttemptResult | None:
         """Start keeping an attempt; return None if it is already known."""
         if key in self.results_by_key_:
             return None
-        kept = KeptResult(key=key, workspace=workspace, started_at=now)
+        kept = AttemptResult(key=key, workspace=workspace, started_at=now)
         self.results_by_key_[key] = kept
         return kept
 
-    def get(self, key: str) -> KeptResult | None:
+    def get(self, key: str) -> AttemptResult | None:
         """Return a kept attempt, or None if it is unknown."""
         return self.results_by_key_.get(key)
 
-    def end(self, kept: KeptResult, done: Done, now: float) -> None:
+    def end(self, kept: AttemptResult, done: Done, now: float) -> None:
         """Record the final message of an attempt."""
         if kept.done_ is not None:
             raise AssertionError(f"attempt {kept.key} ended twice")
