--- a/packages/leadford/src/leadford/pipelines/claims/__init__.py
+++ b/packages/leadford/src/leadford/pipelines/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claim keys in the platform's store, so that a marked request runs at most once."""
+"""Claim idempotency keys in the platform's store: a keyed request runs at most once."""
 
 from leadford.pipelines.claims._keys import request_id_for_key, shard_of
 from leadford.pipelines.claims._log import (
@@ -10,7 +10,7 @@
     SlotView,
     decode_slot,
 )
-from leadford.pipelines.claims._pace import WritePace
+from leadford.pipelines.claims._pace import WriteRateLimiter
 
 __all__ = [
     "ClaimBatch",
@@ -19,7 +19,7 @@
     "ClaimWrite",
     "ClaimsFullError",
     "SlotView",
-    "WritePace",
+    "WriteRateLimiter",
     "decode_slot",
     "request_id_for_key",
     "shard_of",
--- a/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
+++ b/packages/leadford/src/leadford/pipelines/claims/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Two writers, lost answers and a wrapped ring must never grant a key twice."""
+"""No key is granted twice with several writers, lost answers or a wrapped ring."""
 
 from random import Random
 
@@ -20,11 +20,11 @@
 
 
 class FakeStore:
-    """Hold versioned objects as the platform does."""
+    """Store versioned objects with conditional updates, as the platform does."""
 
     def __init__(self):
         self.objects_by_name = {}
-        self.versions = 0
+        self.last_version = 0
 
     def read(self, name):
         version, data = self.objects_by_name.get(name, (0, None))
@@ -34,18 +34,18 @@
         version, _ = self.objects_by_name.get(write.name, (0, None))
         if version != write.expected_version:
             return None
-        self.versions += 1
-        self.objects_by_name[write.name] = (self.versions, write.data)
-        return self.versions
+        self.last_version += 1
+        self.objects_by_name[write.name] = (self.last_version, write.data)
+        return self.last_version
 
 
 class Writer:
-    """Drive one log against a store, one call at a time."""
+    """Read and append one log in a store, one call at a time."""
 
-    def __init__(self, store, ring=8):
+    def __init__(self, store, slot_count=8):
         self.store = store
-        self.log = ClaimLog(shard=0, ring=ring, retention_s=RETENTION_S)
-        self.batches = 0
+        self.log = ClaimLog(shard=0, slot_count=slot_count, retention_s=RETENTION_S)
+        self.batch_count = 0
 
     def catch_up(self, now_s):
         reads = 0
@@ -59,11 +59,11 @@
         """Return whether the claim is granted."""
         for _ in range(10):
             self.catch_up(now_s)
-            holder = self.log.holder(request_id)
+            holder = self.log.claim_id_of(request_id)
             if holder is not None:
                 return holder == claim_id
-            batch_id = f"{id(self)}-{self.batches}"
-            self.batches += 1
+            batch_id = f"{id(self)}-{self.batch_count}"
+            self.batch_count += 1
             batch = ClaimBatch(batch_id, now_s, {request_id: claim_id})
             built = self.log.next_write(batch, now_s)
             if isinstance(built, Failure):
@@ -75,7 +75,7 @@
                 continue
             self.log.record_written(built.unwrap(), version)
             return True
-        raise AssertionError("the log never settled")
+        raise AssertionError("the claim was not settled after 10 tries")
 
 
 def test_one_of_two_writers_wins_a_key():
@@ -91,7 +91,7 @@
     store = FakeStore()
     writer = Writer(store)
     assert writer.claim("k1", "a", 0.0, lost=True)
-    assert store.versions == 1
+    assert store.last_version == 1
 
 
 def test_a_paused_writer_meets_what_was_written_meanwhile():
@@ -106,7 +106,7 @@
 
 def test_a_full_ring_refuses_until_its_claims_expire():
     store = FakeStore()
-    writer = Writer(store, ring=2)
+    writer = Writer(store, slot_count=2)
     for number in range(SLOT_CLAIMS_MAX * 2):
         assert writer.claim(f"k{number}", "a", 0.0)
     assert not writer.claim("one too many", "a", RETENTION_S)
@@ -115,13 +115,13 @@
 
 def test_a_writer_that_joins_reads_few_slots_and_knows_recent_claims():
     store = FakeStore()
-    old = Writer(store, ring=64)
+    old = Writer(store, slot_count=64)
     for number in range(SLOT_CLAIMS_MAX * 20):
         old.claim(f"k{number}", "a", float(number) / 10)
-    late = Writer(store, ring=64)
+    late = Writer(store, slot_count=64)
     now_s = SLOT_CLAIMS_MAX * 2.0
     assert late.catch_up(now_s) < 16
-    assert late.log.holder(f"k{SLOT_CLAIMS_MAX * 20 - 5}") == "a"
+    assert late.log.claim_id_of(f"k{SLOT_CLAIMS_MAX * 20 - 5}") == "a"
     assert not late.claim(f"k{SLOT_CLAIMS_MAX * 19}", "b", now_s)
 
 
@@ -136,13 +136,13 @@
 )
 def test_no_key_is_granted_twice_within_the_retention(steps, random):
     store = FakeStore()
-    writers = [Writer(store, ring=8) for _ in range(3)]
+    writers = [Writer(store, slot_count=8) for _ in range(3)]
     granted_at = {}
     now_s = 0.0
-    for index, (who, key, lost, pause_s) in enumerate(steps):
+    for index, (writer_index, key, lost, pause_s) in enumerate(steps):
         now_s += pause_s * 0.1
-        claim_id = f"{who}-{index}"
-        if not writers[who].claim(f"k{key}", claim_id, now_s, lost):
+        claim_id = f"{writer_index}-{index}"
+        if not writers[writer_index].claim(f"k{key}", claim_id, now_s, lost):
             continue
         previous = granted_at.get(key, float("-inf"))
         assert now_s - previous > RETENTION_S
@@ -169,4 +169,4 @@
             granted.add(f"k{number}")
     fresh = Writer(store)
     fresh.catch_up(0.0)
-    assert all(fresh.log.holder(key) == f"c{key[1:]}" for key in granted)
+    assert all(fresh.log.claim_id_of(key) == f"c{key[1:]}" for key in granted)
